--- a/pimentolink/cachelearning.py
+++ b/pimentolink/cachelearning.py
@@ -14,7 +14,7 @@
 from pimentolink.fleet import Fleet
 from pimentolink.httptypes import HttpReply, HttpRequest
 from pimentolink.logs import Log, LogEvent
-from pimentolink.targetbelief import TargetBelief
+from pimentolink.targetestimate import TargetBelief
 from pimentolink.timers import Timers, pause, with_timeout
 
 # Seconds over which a gateway spreads its questions, so that many that start together
--- a/pimentolink/calls.py
+++ b/pimentolink/calls.py
@@ -23,7 +23,7 @@
 from pimentolink.httptypes import HttpReply, HttpRequest, ReplyHead
 from pimentolink.logs import Log, LogEvent
 from pimentolink.metrics import Metrics
-from pimentolink.targetbelief import TargetBelief
+from pimentolink.targetestimate import TargetBelief
 from pimentolink.targethttp import ConnectionPool, TargetConnection, exchange
 from pimentolink.timers import Timers
 
--- a/pimentolink/crashreports.py
+++ b/pimentolink/crashreports.py
@@ -20,7 +20,7 @@
 )
 from pimentolink.suspects import Suspects
 from pimentolink.suspicion import SUSPECT_FROM
-from pimentolink.targetbelief import Target, TargetBelief
+from pimentolink.targetestimate import Target, TargetBelief
 from pimentolink.timers import Timers, pause
 
 # Seconds from telling others of a try until it begins, in which theirs are heard of.
--- a/pimentolink/deploymentstatus.py
+++ b/pimentolink/deploymentstatus.py
@@ -12,7 +12,7 @@
 from pimentolink.membership import Documents
 from pimentolink.registration import GATEWAY_PREFIX, GatewayEntry
 from pimentolink.suspectstore import SUSPECT_PREFIX, StoredSuspects, SuspectDocument
-from pimentolink.targetbelief import Target
+from pimentolink.targetestimate import Target
 
 Read = TypeVar("Read")
 
--- a/pimentolink/dialect.py
+++ b/pimentolink/dialect.py
@@ -12,7 +12,7 @@
 from pimentolink.httptypes import HttpReply, HttpRequest, ReplyHead
 
 if TYPE_CHECKING:
-    from pimentolink.targetbelief import EngineReport, EngineRole, TargetBelief
+    from pimentolink.targetestimate import EngineReport, EngineRole, TargetBelief
 
 
 # Bytes of a fingerprint; nobody can make a request that has another one's.
--- a/pimentolink/directwrite.py
+++ b/pimentolink/directwrite.py
@@ -8,7 +8,7 @@
 
 from twisted.internet import tcp
 
-from pimentolink.uplink import Uplink
+from pimentolink.egressqueue import Uplink
 
 
 class _DirectWrites:
--- a/pimentolink/endedlives.py
+++ b/pimentolink/endedtargets.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from pimentolink.targetbelief import Target
+from pimentolink.targetestimate import Target
 
 # Seconds for which an ended life is remembered; entries of targets that ended lapse
 # in the restored store within a few heartbeats.
--- a/pimentolink/fleet.py
+++ b/pimentolink/fleet.py
@@ -8,10 +8,10 @@
 from pimentolink.cells import Cells
 from pimentolink.dialect import PromptPart
 from pimentolink.gatewaysettings import EjectionSettings, PlacementSettings
-from pimentolink.partmemory import PartIndex
-from pimentolink.readingcost import ServiceCosts, Slowness
+from pimentolink.prefillcost import ServiceCosts, Slowness
+from pimentolink.prefixcache import PartIndex
 from pimentolink.routes import EngineModel
-from pimentolink.targetbelief import EngineRole, Target, TargetBelief
+from pimentolink.targetestimate import EngineRole, Target, TargetBelief
 
 # Seconds after a freeze in which failures are taken for its consequences.
 THAW_GRACE = 1.0
--- a/pimentolink/gateway.py
+++ b/pimentolink/gateway.py
@@ -17,12 +17,13 @@
 from pimentolink.calls import Caller
 from pimentolink.cells import Cells
 from pimentolink.configurationage import ConfigurationAge
-from pimentolink.configurationprover import ConfigurationProver
+from pimentolink.configurationverifier import ConfigurationProver
 from pimentolink.dialect import Dialect
+from pimentolink.egressqueue import Uplink
 from pimentolink.errors import SettingsInvalid
 from pimentolink.fleet import Fleet
 from pimentolink.forwarder import Forwarder
-from pimentolink.freezewatch import FreezeWatch
+from pimentolink.gatewaydelay import OwnDelay
 from pimentolink.gatewaysettings import GatewaySettings
 from pimentolink.generation import Generations
 from pimentolink.httptypes import Headers, HttpRequest
@@ -33,23 +34,22 @@
 from pimentolink.membership import Documents, Membership
 from pimentolink.metering import Metering
 from pimentolink.metrics import Metrics
-from pimentolink.orderholder import OrderHolder
-from pimentolink.owndelay import OwnDelay
 from pimentolink.pages import Page
 from pimentolink.peers import PeerProtocol, choose_peers
 from pimentolink.placement import Placer
 from pimentolink.plaincalls import PlainCalls
+from pimentolink.prefillqueue import ReadingQueue
+from pimentolink.prefillscheduler import Readings
 from pimentolink.quarantine import Quarantine
-from pimentolink.readingqueue import ReadingQueue
-from pimentolink.readings import Readings
 from pimentolink.registration import Registration
 from pimentolink.retrylimiter import RetryLimiter
 from pimentolink.rolebalance import RoleBalancer
+from pimentolink.rolecontroller import OrderHolder
 from pimentolink.routes import CallerBounds, RoutingTables
 from pimentolink.settings import split_address
 from pimentolink.sharedbudget import SharedBudgets
+from pimentolink.stalldetector import FreezeWatch
 from pimentolink.timers import Repeater, Timers, pause
-from pimentolink.uplink import Uplink
 from pimentolink.usagereporter import UsageApi
 
 # Seconds between two looks at the settings file, which may change without a signal.
--- a/pimentolink/generation.py
+++ b/pimentolink/generation.py
@@ -23,10 +23,10 @@
 from pimentolink.httptypes import HttpReply, end_to_end
 from pimentolink.logs import Log, LogEvent
 from pimentolink.placement import MOST_SIZE, Placer, SizeScale, WaitingPrompt
-from pimentolink.readings import Readings, Ticket
+from pimentolink.prefillscheduler import Readings, Ticket
 from pimentolink.retrylimiter import RetryLimiter
 from pimentolink.routes import Repeatability
-from pimentolink.targetbelief import TargetBelief
+from pimentolink.targetestimate import TargetBelief
 from pimentolink.timers import Timers, with_timeout
 
 # A reading that takes this many times what was predicted, and this many seconds more,
--- a/pimentolink/membership.py
+++ b/pimentolink/membership.py
@@ -9,7 +9,7 @@
 from result import Err, Result
 
 from pimentolink.configurationage import ConfigurationAge
-from pimentolink.endedlives import EndedLives
+from pimentolink.endedtargets import EndedLives
 from pimentolink.errors import DocumentInvalid
 from pimentolink.fleet import Fleet
 from pimentolink.gatewaysettings import StoreSettings
@@ -20,7 +20,7 @@
 from pimentolink.registration import GATEWAY_PREFIX, GatewayEntry
 from pimentolink.routes import RoutingTable, RoutingTables
 from pimentolink.suspectstore import SUSPECT_PREFIX
-from pimentolink.targetbelief import Target
+from pimentolink.targetestimate import Target
 from pimentolink.timers import Timers
 from pimentolink.usagereporter import USAGE_KEY
 
--- a/pimentolink/metering.py
+++ b/pimentolink/metering.py
@@ -2,15 +2,15 @@
 
 from __future__ import annotations
 
+from pimentolink.clocksync import TrueTime
 from pimentolink.gatewaysettings import UsageSettings
 from pimentolink.keyspace import Change, Keyspace
 from pimentolink.leadership import Leadership
 from pimentolink.logs import Log
 from pimentolink.peers import PeerProtocol
 from pimentolink.timers import Timers
-from pimentolink.truetime import TrueTime
+from pimentolink.usagepublisher import UsageTeller
 from pimentolink.usagereporter import UsageApi, UsageReporter
-from pimentolink.usageteller import UsageTeller
 
 
 class Metering:
--- a/pimentolink/peers.py
+++ b/pimentolink/peers.py
@@ -9,10 +9,10 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from pimentolink.cells import Cells
+from pimentolink.egressqueue import Uplink
 from pimentolink.fleet import Fleet
 from pimentolink.logs import Log, LogEvent
 from pimentolink.metrics import Metrics
-from pimentolink.peerbook import PeerBook
 from pimentolink.peermessages import (
     MOST_WORK,
     WORK_STEP,
@@ -24,10 +24,10 @@
     SuspectNews,
     UsageNews,
 )
+from pimentolink.peerupdates import PeerBook
 from pimentolink.registration import GatewayEntry
 from pimentolink.settings import split_address
 from pimentolink.timers import Repeater, Timer, Timers
-from pimentolink.uplink import Uplink
 
 # Largest datagram that no link on the way splits, in bytes.
 MOST_DATAGRAM = 1400
--- a/pimentolink/peerbook.py
+++ b/pimentolink/peerupdates.py
@@ -11,7 +11,7 @@
     ReadingEnded,
     RoleChanging,
 )
-from pimentolink.targetbelief import TargetBelief, reading_ticket
+from pimentolink.targetestimate import TargetBelief, reading_ticket
 
 # Seconds after which what a silent gateway had under way no longer counts; three
 # datagrams in a row may be lost. Its process ended, or the link to it is cut.
--- a/pimentolink/placement.py
+++ b/pimentolink/placement.py
@@ -5,11 +5,11 @@
 from typing import NamedTuple
 
 from pimentolink.dialect import PromptPart
+from pimentolink.egressqueue import Uplink
 from pimentolink.fleet import Fleet
+from pimentolink.gatewaydelay import OwnDelay
 from pimentolink.gatewaysettings import PlacementSettings
-from pimentolink.owndelay import OwnDelay
-from pimentolink.targetbelief import EngineRole, TargetBelief
-from pimentolink.uplink import Uplink
+from pimentolink.targetestimate import EngineRole, TargetBelief
 
 # Worth of a generation by its size against the mean of its route: a fixed part and
 # one that grows with the size, up to a bound.
--- a/pimentolink/plaincalls.py
+++ b/pimentolink/plaincalls.py
@@ -21,7 +21,7 @@
 from pimentolink.httptypes import HttpReply
 from pimentolink.retrylimiter import RetryLimiter
 from pimentolink.routes import Repeatability
-from pimentolink.targetbelief import TargetBelief
+from pimentolink.targetestimate import TargetBelief
 from pimentolink.timers import Timers
 
 # Weight of a target's share of failures against its load, in full queues.
--- a/pimentolink/platform/dialect.py
+++ b/pimentolink/platform/dialect.py
@@ -25,7 +25,7 @@
     header_value,
 )
 from pimentolink.jsondocument import read_json
-from pimentolink.targetbelief import EngineReport, EngineRole, TargetBelief
+from pimentolink.targetestimate import EngineReport, EngineRole, TargetBelief
 
 REQUEST_ID = b"Pimentolink-Request-Id"
 DEADLINE = b"Pimentolink-Deadline-Ms"
--- a/pimentolink/platform/documents.py
+++ b/pimentolink/platform/documents.py
@@ -22,7 +22,7 @@
     WeightedService,
 )
 from pimentolink.settings import Address
-from pimentolink.targetbelief import EngineRole, Target
+from pimentolink.targetestimate import EngineRole, Target
 
 CONFIGURATION_KEY = "op/config"
 TARGET_PREFIX = "servers/"
--- a/pimentolink/readings.py
+++ b/pimentolink/prefillscheduler.py
@@ -8,8 +8,8 @@
 
 from pimentolink.dialect import PromptPart
 from pimentolink.errors import USUAL_PAUSE, CannotBeInTime, Failure
+from pimentolink.gatewaydelay import OwnDelay
 from pimentolink.logs import Log, LogEvent
-from pimentolink.owndelay import OwnDelay
 from pimentolink.peermessages import (
     MOST_WAY_MS,
     OpenReadings,
@@ -18,8 +18,8 @@
     ReadingEnded,
 )
 from pimentolink.placement import Placement, WaitingPrompt
-from pimentolink.readingqueue import ReadingQueue
-from pimentolink.targetbelief import reading_ticket
+from pimentolink.prefillqueue import ReadingQueue
+from pimentolink.targetestimate import reading_ticket
 from pimentolink.timers import Timer, Timers
 
 # Seconds between two looks at the queue when nothing happens; predictions shift with
--- a/pimentolink/rolebalance.py
+++ b/pimentolink/rolebalance.py
@@ -8,7 +8,7 @@
 
 from pimentolink.fleet import Fleet
 from pimentolink.gatewaysettings import RoleSettings
-from pimentolink.targetbelief import EngineRole, TargetBelief
+from pimentolink.targetestimate import EngineRole, TargetBelief
 
 # Share of a change's price that is paid even for an engine that has been idle: its
 # answers in flight, and the order itself.
--- a/pimentolink/orderholder.py
+++ b/pimentolink/rolecontroller.py
@@ -18,7 +18,7 @@
 from pimentolink.logs import Log, LogEvent
 from pimentolink.peermessages import PeerNews, RoleChanging
 from pimentolink.rolebalance import RoleBalancer, RoleChange
-from pimentolink.targetbelief import EngineReport, TargetBelief
+from pimentolink.targetestimate import EngineReport, TargetBelief
 from pimentolink.timers import Timers, together, with_timeout
 
 # Seconds for which an engine gets no further order after one without an answer: it
--- a/pimentolink/targetbelief.py
+++ b/pimentolink/targetestimate.py
@@ -8,9 +8,9 @@
 
 from pimentolink.dialect import PromptPart
 from pimentolink.gatewaysettings import EjectionSettings
-from pimentolink.partmemory import PartIndex, PartMemory
 from pimentolink.peermessages import target_key
-from pimentolink.readingcost import ServiceCosts, Slowness
+from pimentolink.prefillcost import ServiceCosts, Slowness
+from pimentolink.prefixcache import PartIndex, PartMemory
 from pimentolink.routes import EngineModel
 
 # Weight of one outcome in a target's share of failures; the last ten or so decide.
--- a/pimentolink/usageteller.py
+++ b/pimentolink/usagepublisher.py
@@ -7,10 +7,10 @@
 
 import xxhash
 
+from pimentolink.clocksync import TELL_INTERVAL as CLOCK_INTERVAL
+from pimentolink.clocksync import TrueTime
 from pimentolink.peermessages import ClockTold, Message, UsageTold
 from pimentolink.timers import Repeater, Timers
-from pimentolink.truetime import TELL_INTERVAL as CLOCK_INTERVAL
-from pimentolink.truetime import TrueTime
 from pimentolink.usage import (
     MOST_WINDOWS,
     Counts,
--- a/pimentolink/usagereporter.py
+++ b/pimentolink/usagereporter.py
@@ -9,6 +9,7 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
+from pimentolink.clocksync import TrueTime
 from pimentolink.errors import Failure, KeyValueUnavailable, LeaseLost, ReportRefused
 from pimentolink.gatewaysettings import UsageSettings
 from pimentolink.jsondocument import read_entry
@@ -16,8 +17,7 @@
 from pimentolink.leadership import LEADER_KEY, READ_AGE, Leadership
 from pimentolink.logs import Log, LogEvent
 from pimentolink.timers import Timers, in_background, pause, with_timeout
-from pimentolink.truetime import TrueTime
-from pimentolink.usageteller import UsageTeller
+from pimentolink.usagepublisher import UsageTeller
 
 USAGE_KEY = "pimentolink/usage"
 # Seconds between two looks at what is due.
--- a/tests/gatewayparts.py
+++ b/tests/gatewayparts.py
@@ -6,20 +6,20 @@
 from twisted.internet.testing import StringTransport
 
 from pimentolink.dialect import PromptPart
+from pimentolink.egressqueue import Uplink
 from pimentolink.fleet import Fleet
+from pimentolink.gatewaydelay import OwnDelay
 from pimentolink.gatewaysettings import (
     EjectionSettings,
     GatewaySettings,
     PlacementSettings,
     StoreSettings,
 )
-from pimentolink.owndelay import OwnDelay
 from pimentolink.placement import Placer, WaitingPrompt
-from pimentolink.readingqueue import ReadingQueue
+from pimentolink.prefillqueue import ReadingQueue
 from pimentolink.routes import EngineModel, Repeatability, Route, WeightedService
-from pimentolink.targetbelief import EngineRole, Target
+from pimentolink.targetestimate import EngineRole, Target
 from pimentolink.timers import ManualTimers
-from pimentolink.uplink import Uplink
 
 MODEL = EngineModel(
     cache_tokens=100_000,
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -3,7 +3,7 @@
 import pytest
 
 from pimentolink.cells import Cells
-from pimentolink.targetbelief import EngineRole
+from pimentolink.targetestimate import EngineRole
 from tests.gatewayparts import fleet, target
 
 
--- a/tests/test_truetime.py
+++ b/tests/test_clocksync.py
@@ -2,8 +2,8 @@
 
 import pytest
 
+from pimentolink.clocksync import KEEP, TrueTime
 from pimentolink.timers import ManualTimers
-from pimentolink.truetime import KEEP, TrueTime
 
 
 class Clock(ManualTimers):
--- a/tests/test_configurationprover.py
+++ b/tests/test_configurationverifier.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred
 
 from pimentolink.configurationage import REWRITE_TIME, ConfigurationAge
-from pimentolink.configurationprover import ConfigurationProver
+from pimentolink.configurationverifier import ConfigurationProver
 from pimentolink.keyspacefollower import KeyspaceFollower
 from pimentolink.logs import Log
 from pimentolink.membership import Membership
--- a/tests/test_uplink.py
+++ b/tests/test_egressqueue.py
@@ -2,8 +2,8 @@
 
 import pytest
 
+from pimentolink.egressqueue import Uplink
 from pimentolink.timers import ManualTimers
-from pimentolink.uplink import Uplink
 
 
 @pytest.fixture
--- a/tests/test_owndelay.py
+++ b/tests/test_gatewaydelay.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pimentolink.owndelay import OwnDelay
+from pimentolink.gatewaydelay import OwnDelay
 
 
 class TestOwnDelay:
--- a/tests/test_largefleet.py
+++ b/tests/test_largefleet.py
@@ -6,7 +6,7 @@
 from pimentolink.fleet import MOST_COMPARED
 from pimentolink.gatewaysettings import PlacementSettings
 from pimentolink.placement import WaitingPrompt
-from pimentolink.targetbelief import EngineRole
+from pimentolink.targetestimate import EngineRole
 from tests.gatewayparts import MODEL, fleet, placer_over, target
 
 READERS, WRITERS = 2_000, 1_000
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -18,7 +18,7 @@
 from pimentolink.platform.documents import PlatformDocuments
 from pimentolink.routes import RoutingTables
 from pimentolink.settings import split_address
-from pimentolink.targetbelief import EngineRole
+from pimentolink.targetestimate import EngineRole
 from pimentolink.timers import ManualTimers
 from tests.gatewayparts import MODEL, gateway_settings
 from tests.jsonvalues import DOCUMENTS, likely
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -7,9 +7,9 @@
 
 from pimentolink.cells import MOST_GATEWAYS, Cells
 from pimentolink.dialect import PromptPart
+from pimentolink.egressqueue import Uplink
 from pimentolink.logs import Log
 from pimentolink.metrics import Metrics
-from pimentolink.peerbook import COUNTS_LAST, PeerBook
 from pimentolink.peermessages import (
     MOST_CHANGING,
     InFlight,
@@ -20,10 +20,10 @@
     target_key,
 )
 from pimentolink.peers import MOST_DATAGRAM, PeerOutbox, PeerProtocol, choose_peers
+from pimentolink.peerupdates import COUNTS_LAST, PeerBook
 from pimentolink.registration import GatewayEntry
-from pimentolink.targetbelief import EngineRole
+from pimentolink.targetestimate import EngineRole
 from pimentolink.timers import ManualTimers
-from pimentolink.uplink import Uplink
 from tests.gatewayparts import fleet, target
 from tests.jsonvalues import VALUES
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,14 +4,14 @@
 
 import pytest
 
+from pimentolink.egressqueue import Uplink
 from pimentolink.errors import CannotBeInTime, NoTarget
+from pimentolink.gatewaydelay import OwnDelay
 from pimentolink.gatewaysettings import PlacementSettings
-from pimentolink.owndelay import OwnDelay
 from pimentolink.placement import Placer
-from pimentolink.readingqueue import ReadingQueue
-from pimentolink.targetbelief import EngineRole
+from pimentolink.prefillqueue import ReadingQueue
+from pimentolink.targetestimate import EngineRole
 from pimentolink.timers import ManualTimers
-from pimentolink.uplink import Uplink
 from tests.gatewayparts import (
     engines,
     fleet,
--- a/tests/test_platform_dialect.py
+++ b/tests/test_platform_dialect.py
@@ -20,7 +20,7 @@
     PlatformDialect,
     read_request,
 )
-from pimentolink.readings import parts_of
+from pimentolink.prefillscheduler import parts_of
 from tests.jsonvalues import DOCUMENTS, likely
 
 NUMBERS = st.one_of(
--- a/tests/test_readings.py
+++ b/tests/test_prefillscheduler.py
@@ -2,10 +2,10 @@
 
 import pytest
 
+from pimentolink.gatewaydelay import OwnDelay
 from pimentolink.logs import Log
-from pimentolink.owndelay import OwnDelay
 from pimentolink.peermessages import OpenReadings
-from pimentolink.readings import Readings
+from pimentolink.prefillscheduler import Readings
 from pimentolink.timers import ManualTimers
 from tests.gatewayparts import engines, fleet, prompt, queue_over
 
--- a/tests/test_rolebalance.py
+++ b/tests/test_rolebalance.py
@@ -2,7 +2,7 @@
 
 from pimentolink.gatewaysettings import RoleSettings
 from pimentolink.rolebalance import RoleBalancer
-from pimentolink.targetbelief import EngineRole
+from pimentolink.targetestimate import EngineRole
 from tests.gatewayparts import engines, fleet
 
 
--- a/tests/test_orderholder.py
+++ b/tests/test_rolecontroller.py
@@ -11,10 +11,10 @@
 from pimentolink.leadership import LEADER_KEY, Leadership
 from pimentolink.logs import Log
 from pimentolink.memorykeyspace import MemoryKeyspace
-from pimentolink.orderholder import IN_DOUBT, OrderHolder
 from pimentolink.platform.dialect import PlatformDialect
 from pimentolink.rolebalance import RoleBalancer
-from pimentolink.targetbelief import EngineRole
+from pimentolink.rolecontroller import IN_DOUBT, OrderHolder
+from pimentolink.targetestimate import EngineRole
 from pimentolink.timers import ManualTimers
 from tests.gatewayparts import engines, fleet, gateway_settings
 
--- a/tests/test_freezewatch.py
+++ b/tests/test_stalldetector.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from pimentolink.freezewatch import FreezeWatch
 from pimentolink.logs import Log
+from pimentolink.stalldetector import FreezeWatch
 from pimentolink.timers import ManualTimers
 
 
--- a/tools/enginemodel.py
+++ b/tools/enginemodel.py
@@ -7,8 +7,8 @@
 
 from pimentolink.dialect import PromptPart
 from pimentolink.errors import ConnectionBroken, NotListening
-from pimentolink.partmemory import PartMemory
-from pimentolink.targetbelief import EngineRole
+from pimentolink.prefixcache import PartMemory
+from pimentolink.targetestimate import EngineRole
 from pimentolink.timers import Timers
 
 
--- a/tools/replay.py
+++ b/tools/replay.py
@@ -13,13 +13,13 @@
 
 from pimentolink.crashreports import CrashReports
 from pimentolink.dialect import CallerRequest, PromptPart
+from pimentolink.egressqueue import Uplink
 from pimentolink.errors import USUAL_PAUSE, Failure, Quarantined
 from pimentolink.fleet import Fleet
+from pimentolink.gatewaydelay import OwnDelay
 from pimentolink.gatewaysettings import EjectionSettings, PlacementSettings
 from pimentolink.httptypes import HttpRequest
 from pimentolink.logs import Log, LogEvent
-from pimentolink.owndelay import OwnDelay
-from pimentolink.peerbook import PeerBook
 from pimentolink.peermessages import (
     InFlight,
     LoadNews,
@@ -28,14 +28,14 @@
     ReadingEnded,
     SuspectNews,
 )
+from pimentolink.peerupdates import PeerBook
 from pimentolink.placement import Placement, Placer, SizeScale, WaitingPrompt
-from pimentolink.readingqueue import ReadingQueue
-from pimentolink.readings import Readings
+from pimentolink.prefillqueue import ReadingQueue
+from pimentolink.prefillscheduler import Readings
 from pimentolink.routes import EngineModel
 from pimentolink.suspects import Suspects
-from pimentolink.targetbelief import EngineRole, Target, TargetBelief
+from pimentolink.targetestimate import EngineRole, Target, TargetBelief
 from pimentolink.timers import ManualTimers, Repeater, pause, with_timeout
-from pimentolink.uplink import Uplink
 from tools.enginemodel import EngineFigures, ModelEngine
 
 LOADS = Path(__file__).parent.parent / "tests" / "loads"
