--- a/pimentolink/attempts.py
+++ b/pimentolink/attempts.py
@@ -48,7 +48,7 @@
         if self._route.repeatability is Repeatability.ONCE:
             return False
         ran_at = self._ran_at | {target_id}
-        return len(ran_at) <= self._route.most_targets
+        return len(ran_at) <= self._route.max_targets
 
     def may_repeat(self) -> bool:
         """Tell whether another target may get it."""
--- a/pimentolink/breaker.py
+++ b/pimentolink/breaker.py
@@ -43,7 +43,7 @@
         :param random: seeded source for jitter.
         """
         self._store = store
-        self._most_failures = settings.breaker_failures
+        self._max_failures = settings.breaker_failures
         self._backoff = Backoff(settings.backoff_first, settings.backoff_most, random)
         self._timers = timers
         self._failures = 0
@@ -53,7 +53,7 @@
     @property
     def is_open(self) -> bool:
         """Whether the service counts as down."""
-        return self._failures >= self._most_failures
+        return self._failures >= self._max_failures
 
     def get(self, key: str) -> Deferred[Value]:
         """Read a key."""
--- a/pimentolink/cachelearning.py
+++ b/pimentolink/cachelearning.py
@@ -14,7 +14,7 @@
 from pimentolink.fleet import Fleet
 from pimentolink.httptypes import HttpReply, HttpRequest
 from pimentolink.logs import Log, LogEvent
-from pimentolink.targetestimate import TargetBelief
+from pimentolink.targetestimate import TargetEstimate
 from pimentolink.timers import Timers, pause, with_timeout
 
 # Seconds over which a gateway spreads its questions, so that many that start together
@@ -23,7 +23,7 @@
 # Seconds until a question counts as unanswered.
 TIMEOUT = 1.0
 
-Send = Callable[[TargetBelief, HttpRequest], Coroutine[Any, Any, HttpReply]]
+Send = Callable[[TargetEstimate, HttpRequest], Coroutine[Any, Any, HttpReply]]
 
 
 class CacheLearning:
@@ -62,31 +62,31 @@
 
     def ask_all(self) -> None:
         """Ask every engine known by now."""
-        for belief in self._fleet.targets_by_id.values():
-            if self._fleet.model(belief.target.service) is not None:
-                asking = Deferred.fromCoroutine(self._ask(belief))
+        for estimate in self._fleet.targets_by_id.values():
+            if self._fleet.model(estimate.target.service) is not None:
+                asking = Deferred.fromCoroutine(self._ask(estimate))
                 asking.addErrback(lambda failure: failure.trap(Failure, TimeoutError))
 
-    async def _ask(self, belief: TargetBelief) -> None:
+    async def _ask(self, estimate: TargetEstimate) -> None:
         await pause(self._timers, self._random.uniform(0.0, SPREAD))
-        question = self._dialect.ask_parts(belief)
+        question = self._dialect.ask_parts(estimate)
         try:
-            sending = self._send(belief, question)
+            sending = self._send(estimate, question)
             reply = await with_timeout(self._timers, TIMEOUT, sending)
         except (Failure, TimeoutError) as error:
-            self._tell(belief, 0, str(error))
+            self._tell(estimate, 0, str(error))
             return
         found = self._dialect.read_parts(reply)
         if isinstance(found, Err):
-            self._tell(belief, 0, str(found.err_value))
+            self._tell(estimate, 0, str(found.err_value))
             return
-        belief.fetched(found.ok_value)
-        self._tell(belief, len(found.ok_value), "")
+        estimate.fetched(found.ok_value)
+        self._tell(estimate, len(found.ok_value), "")
 
-    def _tell(self, belief: TargetBelief, parts: int, detail: str) -> None:
+    def _tell(self, estimate: TargetEstimate, parts: int, detail: str) -> None:
         self._log.write(
             LogEvent.CACHE_LEARNED,
-            target=belief.target.target_id,
+            target=estimate.target.target_id,
             parts=parts,
             detail=detail,
         )
--- a/pimentolink/callerhttp.py
+++ b/pimentolink/callerhttp.py
@@ -23,7 +23,7 @@
 from pimentolink.timers import Timer, Timers
 
 # Bytes of further requests kept while one is answered; then reading stops.
-MOST_AHEAD = 65_536
+MAX_AHEAD = 65_536
 # Seconds that a connection is kept open beyond the bound that callers are told, so
 # that none closes just as its caller sends.
 IDLE_GRACE = 2.0
@@ -90,7 +90,7 @@
         """Take bytes of the caller."""
         if self._answering is not None:
             self._received += data
-            if len(self._received) > MOST_AHEAD:
+            if len(self._received) > MAX_AHEAD:
                 self._is_reading_paused = True
                 self._transport().pauseProducing()
             return
--- a/pimentolink/calls.py
+++ b/pimentolink/calls.py
@@ -23,11 +23,11 @@
 from pimentolink.httptypes import HttpReply, HttpRequest, ReplyHead
 from pimentolink.logs import Log, LogEvent
 from pimentolink.metrics import Metrics
-from pimentolink.targetestimate import TargetBelief
+from pimentolink.targetestimate import TargetEstimate
 from pimentolink.targethttp import ConnectionPool, TargetConnection, exchange
 from pimentolink.timers import Timers
 
-MOST_ANSWER_BYTES = 8_000_000
+MAX_ANSWER_BYTES = 8_000_000
 
 
 class CallWatcher(Protocol):
@@ -40,10 +40,10 @@
         :raises Failure: if it may not be sent.
         """
 
-    def cut_off(self, request: CallerRequest, belief: TargetBelief) -> None:
+    def cut_off(self, request: CallerRequest, estimate: TargetEstimate) -> None:
         """Learn that an exchange with a target did not come to its end."""
 
-    def connection_lost(self, belief: TargetBelief) -> None:
+    def connection_lost(self, estimate: TargetEstimate) -> None:
         """Learn that a target broke a connection off."""
 
     def answered(self, request: CallerRequest) -> None:
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        belief: TargetBelief,
+        estimate: TargetEstimate,
         pool: ConnectionPool,
         connection: TargetConnection,
         sent_at: float,
@@ -64,13 +64,13 @@
         """
         Begin.
 
-        :param belief: what is known of the target.
+        :param estimate: what is known of the target.
         :param pool: where the connection goes back to.
         :param connection: that carries the exchange.
         :param sent_at: seconds of the timer service.
         :param on_cut_off: called if it is ended before the answer's last byte.
         """
-        self.belief = belief
+        self.estimate = estimate
         self.sent_at = sent_at
         self._on_cut_off = on_cut_off
         self._is_whole = False
@@ -90,7 +90,7 @@
     async def read_all(self) -> HttpReply:
         """Read the whole answer."""
         assert self.head is not None
-        body = await self._connection.read_all(MOST_ANSWER_BYTES)
+        body = await self._connection.read_all(MAX_ANSWER_BYTES)
         self._is_whole = True
         self.close()
         return HttpReply(self.head, body)
@@ -110,7 +110,7 @@
         if self._is_over:
             return
         self._is_over = True
-        self.belief.in_flight -= 1
+        self.estimate.in_flight -= 1
         self._pool.release(self._connection)
         if not self._is_whole:
             self._on_cut_off()
@@ -151,7 +151,7 @@
         self._log = log
         self._metrics = metrics
         self._pools_by_target: dict[str, ConnectionPool] = {}
-        self.most_connections: Callable[[str], int] = lambda service: settings.most
+        self.max_connections: Callable[[str], int] = lambda service: settings.most
 
     def forget(self, target_id: str) -> None:
         """Close the idle connections of a target that is gone."""
@@ -159,19 +159,19 @@
         if pool is not None:
             pool.close()
 
-    def pool(self, belief: TargetBelief) -> ConnectionPool:
+    def pool(self, estimate: TargetEstimate) -> ConnectionPool:
         """Find the connections to a target."""
-        target = belief.target
+        target = estimate.target
         pool = self._pools_by_target.get(target.target_id)
         if pool is None:
             pool = ConnectionPool(
                 self._reactor, target.address, self._settings, self._timers
             )
             self._pools_by_target[target.target_id] = pool
-        pool.most = self.most_connections(target.service)
+        pool.most = self.max_connections(target.service)
         return pool
 
-    async def alone(self, belief: TargetBelief, message: HttpRequest) -> HttpReply:
+    async def alone(self, estimate: TargetEstimate, message: HttpRequest) -> HttpReply:
         """
         Make one call on a connection of its own.
 
@@ -179,14 +179,14 @@
 
         :raises Failure: without an answer.
         """
-        address = belief.target.address
+        address = estimate.target.address
         pool = ConnectionPool(self._reactor, address, self._settings, self._timers)
         try:
-            return await exchange(pool, message, lambda head: True, MOST_ANSWER_BYTES)
+            return await exchange(pool, message, lambda head: True, MAX_ANSWER_BYTES)
         finally:
             pool.close()
 
-    async def is_listening(self, belief: TargetBelief) -> bool:
+    async def is_listening(self, estimate: TargetEstimate) -> bool:
         """
         Tell whether anything listens at a target's address.
 
@@ -194,11 +194,11 @@
 
         :returns: ``False`` only if it refuses connections.
         """
-        pool = self.pool(belief)
+        pool = self.pool(estimate)
         try:
             connection = await pool.open()
         except NotListening:
-            belief.refused_connection(self._timers.now())
+            estimate.refused_connection(self._timers.now())
             return False
         except NotConnected:
             return True
@@ -216,7 +216,7 @@
     async def begin(
         self,
         request: CallerRequest,
-        belief: TargetBelief,
+        estimate: TargetEstimate,
         sending: Sending,
         is_once: bool = False,
     ) -> Call:
@@ -233,32 +233,32 @@
             raise CannotBeInTime("its time was over before it was sent", USUAL_PAUSE)
         await self._watcher.admit(request)
         message = self._dialect.sending(request, sending)
-        return await self.send(request, belief, message, is_once)
+        return await self.send(request, estimate, message, is_once)
 
     async def send(
         self,
         request: CallerRequest,
-        belief: TargetBelief,
+        estimate: TargetEstimate,
         message: HttpRequest,
         is_once: bool = False,
     ) -> Call:
         """Send a message that the dialect wrote; see :meth:`begin`."""
-        pool = self.pool(belief)
-        belief.in_flight += 1
+        pool = self.pool(estimate)
+        estimate.in_flight += 1
         try:
             idle = self._settings.idle_once if is_once else None
             connection = await pool.acquire(idle)
         except BaseException as error:
-            belief.in_flight -= 1
+            estimate.in_flight -= 1
             if isinstance(error, Failure):
-                self.blame(request, belief, error)
+                self.blame(request, estimate, error)
             raise
         call = Call(
-            belief,
+            estimate,
             pool,
             connection,
             self._timers.now(),
-            lambda: self._watcher.cut_off(request, belief),
+            lambda: self._watcher.cut_off(request, estimate),
         )
         try:
             call.head = await connection.send(
@@ -268,7 +268,7 @@
         except BaseException as error:
             call.close()
             if isinstance(error, Failure):
-                self.blame(request, belief, error, call.sent_at)
+                self.blame(request, estimate, error, call.sent_at)
             raise
         return call
 
@@ -280,17 +280,17 @@
             raise RejectedUnrun(f"status {head.status}")
         if verdict is Verdict.OTHER_INSTANCE:
             await call.read_all()
-            raise OtherInstance(f"another target has {call.belief.target.address}")
+            raise OtherInstance(f"another target has {call.estimate.target.address}")
 
-    def succeeded(self, request: CallerRequest, belief: TargetBelief) -> None:
+    def succeeded(self, request: CallerRequest, estimate: TargetEstimate) -> None:
         """Count a whole answer for its target and for what was asked."""
-        belief.outcome(is_good=True)
+        estimate.outcome(is_good=True)
         self._watcher.answered(request)
 
     def blame(
         self,
         request: CallerRequest,
-        belief: TargetBelief,
+        estimate: TargetEstimate,
         failure: Failure,
         sent_at: float | None = None,
     ) -> None:
@@ -299,7 +299,7 @@
 
         :param sent_at: seconds of the timer service; ``None`` if nothing was sent.
         """
-        target = belief.target
+        target = estimate.target
         now = self._timers.now()
         self._metrics.count("attempts_failed", failure.code)
         self._log.write(
@@ -310,21 +310,23 @@
             detail=failure.detail,
             fingerprint=request.fingerprint,
             after=None if sent_at is None else round(now - sent_at, 4),
-            others=belief.in_flight,
+            others=estimate.in_flight,
         )
         if isinstance(failure, OtherInstance):
             # Whoever has the address now, this target is gone.
-            belief.missing_since = now
+            estimate.missing_since = now
             return
-        belief.outcome(is_good=False)
+        estimate.outcome(is_good=False)
         if isinstance(failure, NotListening):
-            belief.refused_connection(now)
+            estimate.refused_connection(now)
         if isinstance(failure, ConnectionBroken | ReplyInvalid):
-            self._watcher.connection_lost(belief)
+            self._watcher.connection_lost(estimate)
         is_sick = not isinstance(failure, RejectedUnrun | TargetFailed)
-        if is_sick and self._fleet.failed(belief, now):
+        if is_sick and self._fleet.failed(estimate, now):
             self._log.write(LogEvent.TARGET_EJECTED, target=target.target_id)
 
     def failed(self, request: CallerRequest, call: Call, status: int) -> None:
         """Count a target's own failure, told by the status of its answer."""
-        self.blame(request, call.belief, TargetFailed(f"status {status}"), call.sent_at)
+        self.blame(
+            request, call.estimate, TargetFailed(f"status {status}"), call.sent_at
+        )
--- a/pimentolink/cells.py
+++ b/pimentolink/cells.py
@@ -10,7 +10,7 @@
 # target; a gateway that heard 32 of 67 others predicted readings 1.5 times too short
 # at the median and 5 times at 9 in 10. Telling grows with them: 300 that told each
 # other took 36 % of a core and 105 KB/s each.
-MOST_GATEWAYS = 96
+MAX_GATEWAYS = 96
 
 
 class Cells:
@@ -26,13 +26,13 @@
     targets are spread by their names.
     """
 
-    def __init__(self, most_gateways: int = MOST_GATEWAYS) -> None:
+    def __init__(self, max_gateways: int = MAX_GATEWAYS) -> None:
         """
         Start with one cell.
 
-        :param most_gateways: of a cell, about.
+        :param max_gateways: of a cell, about.
         """
-        self._most = most_gateways
+        self._most = max_gateways
         self._cell_by_data_centre: dict[str, int] = {}
         self.count = 1
 
--- a/pimentolink/clocksync.py
+++ b/pimentolink/clocksync.py
@@ -12,7 +12,7 @@
 KEEP = 30.0
 
 
-class TrueTime:
+class SynchronizedClock:
     """
     Estimates the time of day from the clocks of all gateways.
 
--- a/pimentolink/configurationverifier.py
+++ b/pimentolink/configurationverifier.py
@@ -11,7 +11,12 @@
 from pimentolink.configurationage import ConfigurationAge
 from pimentolink.errors import KeyValueUnavailable
 from pimentolink.keyspace import Change, Item, Keyspace, epoch_of
-from pimentolink.peermessages import Message, ProofAsked, ProofNews, ProofTold
+from pimentolink.peermessages import (
+    Message,
+    VerificationMessage,
+    VerificationReply,
+    VerificationRequest,
+)
 from pimentolink.timers import Timers, in_background, pause
 
 # Share of the bound on the age after which a proof is renewed, and at which another
@@ -29,14 +34,14 @@
 ASKERS = 24
 
 
-class ProofPeers(Protocol):
+class VerificationPeers(Protocol):
     """Sends messages to some gateways."""
 
-    def tell_some(self, gateways: Iterable[str], messages: list[Message]) -> None:
+    def send_to(self, gateways: Iterable[str], messages: list[Message]) -> None:
         """Tell some gateways, by name."""
 
 
-class ConfigurationProver:
+class ConfigurationVerifier:
     """
     Reads the configuration's key, or asks a gateway that reads it.
 
@@ -56,7 +61,7 @@
         keyspace: Keyspace,
         age: ConfigurationAge,
         bound: float,
-        peers: ProofPeers,
+        peers: VerificationPeers,
         timers: Timers,
     ) -> None:
         """
@@ -79,7 +84,7 @@
         self._timers = timers
         self._revision = 0
         self._number = 0
-        self._answer: Deferred[ProofTold | None] | None = None
+        self._answer: Deferred[VerificationReply | None] | None = None
         self._silent = ""
         self._silent_until = 0.0
         self._running: Deferred[None] | None = None
@@ -104,25 +109,29 @@
         self.stop()
         self.start()
 
-    def take(self, message: ProofNews, answer: Callable[[Message], None]) -> None:
+    def take(
+        self, message: VerificationMessage, answer: Callable[[Message], None]
+    ) -> None:
         """
         Answer another gateway, or take its answer.
 
         :param answer: sends a message back to where this one came from; a gateway that
             has just started may not be listed here yet.
         """
-        if isinstance(message, ProofAsked):
+        if isinstance(message, VerificationRequest):
             self._tell(message, answer)
         elif message.number == self._number:
             self._answered(message)
 
-    def _tell(self, asked: ProofAsked, answer: Callable[[Message], None]) -> None:
+    def _tell(
+        self, asked: VerificationRequest, answer: Callable[[Message], None]
+    ) -> None:
         age = self._age.age()
         if age is None:
             return
         # Rounded up: an answer must not look newer than it is.
         age_ms = int(age * 1000) + 1
-        answer(ProofTold(asked.number, self.version(), self._age.epoch, age_ms))
+        answer(VerificationReply(asked.number, self.version(), self._age.epoch, age_ms))
 
     async def _run(self) -> None:
         retry = RETRY_FIRST
@@ -167,11 +176,11 @@
         self._age.proven(asked_at - age, answer.epoch)
         return True
 
-    async def _answer_of(self, gateway: str) -> ProofTold | None:
+    async def _answer_of(self, gateway: str) -> VerificationReply | None:
         self._number += 1
-        waiting: Deferred[ProofTold | None] = Deferred()
+        waiting: Deferred[VerificationReply | None] = Deferred()
         self._answer = waiting
-        self._peers.tell_some([gateway], [ProofAsked(self._number)])
+        self._peers.send_to([gateway], [VerificationRequest(self._number)])
         timer = self._timers.call_later(PEER_TIMEOUT, lambda: self._answered(None))
         try:
             return await waiting
@@ -179,7 +188,7 @@
             timer.cancel()
             self._answer = None
 
-    def _answered(self, answer: ProofTold | None) -> None:
+    def _answered(self, answer: VerificationReply | None) -> None:
         waiting, self._answer = self._answer, None
         if waiting is not None:
             waiting.callback(answer)
--- a/pimentolink/crashreports.py
+++ b/pimentolink/crashreports.py
@@ -10,23 +10,23 @@
 from pimentolink.dialect import CallerRequest
 from pimentolink.logs import Log, LogEvent
 from pimentolink.peermessages import (
-    MOST_CRASHES,
-    MOST_STRUCK,
-    PeerNews,
+    MAX_CRASH_FINGERPRINTS,
+    MAX_CRASHES,
+    PeerPublisher,
     SuspectCleared,
-    SuspectNews,
+    SuspectMessage,
     SuspectTried,
     crash_messages,
 )
 from pimentolink.suspects import Suspects
 from pimentolink.suspicion import SUSPECT_FROM
-from pimentolink.targetestimate import Target, TargetBelief
+from pimentolink.targetestimate import Target, TargetEstimate
 from pimentolink.timers import Timers, pause
 
 # Seconds from telling others of a try until it begins, in which theirs are heard of.
 TRY_NOTICE = 0.05
 
-IsListening = Callable[[TargetBelief], Coroutine[Any, Any, bool]]
+IsListening = Callable[[TargetEstimate], Coroutine[Any, Any, bool]]
 
 
 class CrashReports:
@@ -39,7 +39,7 @@
     """
 
     def __init__(
-        self, suspects: Suspects, news: PeerNews, timers: Timers, log: Log
+        self, suspects: Suspects, news: PeerPublisher, timers: Timers, log: Log
     ) -> None:
         """
         Prepare.
@@ -69,7 +69,7 @@
         now = self._timers.now()
         name, request_id = request.fingerprint, request.request_id
         if self._suspects.try_again(name, request_id, now):
-            self._news.tell(SuspectTried(name))
+            self._news.broadcast(SuspectTried(name))
             crashes = len(self._suspects.crashes(name, now))
             self._log.write(
                 LogEvent.SUSPECT_TRIED,
@@ -87,30 +87,30 @@
         if refused is not None:
             raise refused
 
-    def cut_off(self, request: CallerRequest, belief: TargetBelief) -> None:
+    def cut_off(self, request: CallerRequest, estimate: TargetEstimate) -> None:
         """Learn that a request's exchange with a target did not come to its end."""
-        if belief.target.is_leaving or belief.missing_since is not None:
+        if estimate.target.is_leaving or estimate.missing_since is not None:
             # It cuts off what is left when it goes, as it said.
             return
-        name, key = request.fingerprint, belief.target.key
+        name, key = request.fingerprint, estimate.target.key
         if self._suspects.broke(name, request.request_id, key, self._timers.now()):
             self._tell_struck(key, [name])
 
-    def connection_lost(self, belief: TargetBelief) -> None:
+    def connection_lost(self, estimate: TargetEstimate) -> None:
         """Find out whether a target that broke a connection off still listens."""
-        key = belief.target.key
+        key = estimate.target.key
         if self.is_listening is None or key in self._asked:
             return
         self._asked.add(key)
-        Deferred.fromCoroutine(self._ask(belief, self.is_listening))
+        Deferred.fromCoroutine(self._ask(estimate, self.is_listening))
 
-    async def _ask(self, belief: TargetBelief, is_listening: IsListening) -> None:
+    async def _ask(self, estimate: TargetEstimate, is_listening: IsListening) -> None:
         try:
-            has_ended = not await is_listening(belief)
+            has_ended = not await is_listening(estimate)
         finally:
-            self._asked.discard(belief.target.key)
+            self._asked.discard(estimate.target.key)
         if has_ended:
-            self.target_ended(belief.target, "nothing listens")
+            self.target_ended(estimate.target, "nothing listens")
 
     def target_ended(self, target: Target, sign: str) -> None:
         """
@@ -128,7 +128,7 @@
             target=target.target_id,
             sign=sign,
             requests=len(struck),
-            fingerprints=struck[:MOST_STRUCK],
+            fingerprints=struck[:MAX_CRASH_FINGERPRINTS],
         )
         self._tell_struck(target.key, struck)
 
@@ -140,7 +140,7 @@
                 if self._suspects.is_blamed(name, target) is is_tried
             ]
             for message in crash_messages(target, names, is_tried):
-                self._news.tell(message)
+                self._news.broadcast(message)
         self._log_suspects(struck, "own")
         self.on_struck(True)
 
@@ -150,12 +150,12 @@
         crashes = self._suspects.answered(name, self._timers.now())
         if len(crashes) < SUSPECT_FROM:
             return
-        cleared = SuspectCleared(name, crashes[:MOST_CRASHES])
-        self._news.tell(cleared)
+        cleared = SuspectCleared(name, crashes[:MAX_CRASHES])
+        self._news.broadcast(cleared)
         self._log_cleared(cleared, "answered")
         self.on_cleared(cleared)
 
-    def take(self, message: SuspectNews, source: str) -> None:
+    def take(self, message: SuspectMessage, source: str) -> None:
         """
         Learn from another gateway.
 
--- a/pimentolink/dialect.py
+++ b/pimentolink/dialect.py
@@ -12,7 +12,7 @@
 from pimentolink.httptypes import HttpReply, HttpRequest, ReplyHead
 
 if TYPE_CHECKING:
-    from pimentolink.targetestimate import EngineReport, EngineRole, TargetBelief
+    from pimentolink.targetestimate import EngineReport, EngineRole, TargetEstimate
 
 
 # Bytes of a fingerprint; nobody can make a request that has another one's.
@@ -80,7 +80,7 @@
 
     :ivar time_left: seconds that the target may take.
     :ivar priority: 0 is the most urgent; ``None`` leaves it to the target.
-    :ivar is_reading: only the prompt is to be read, for another engine.
+    :ivar is_prefill: only the prompt is to be read, for another engine.
     :ivar cache_source: a read prompt to fetch, as the dialect names it.
     :ivar copy_from: address of an engine that probably holds parts of the prompt.
     :ivar last_event: the answer is to go on after this event.
@@ -89,13 +89,13 @@
     target_id: str
     time_left: float | None
     priority: int | None = None
-    is_reading: bool = False
+    is_prefill: bool = False
     cache_source: str = ""
     copy_from: str = ""
     last_event: bytes | None = None
 
 
-class ReadPrompt(NamedTuple):
+class PrefilledPrompt(NamedTuple):
     """
     A prompt whose KV cache waits at the engine that read it.
 
@@ -138,16 +138,16 @@
     def is_signed(self, head: ReplyHead) -> bool:
         """Tell whether a target vouches for an answer."""
 
-    def read_prompt(self, reply: HttpReply) -> Result[ReadPrompt, ReplyInvalid]:
+    def read_prompt(self, reply: HttpReply) -> Result[PrefilledPrompt, ReplyInvalid]:
         """Read the answer to a reading."""
 
-    def cache_source(self, address: str, prompt: ReadPrompt) -> str:
+    def cache_source(self, address: str, prompt: PrefilledPrompt) -> str:
         """Name a KV cache for the engine that is to fetch it."""
 
-    def drop_cache(self, address: str, prompt: ReadPrompt) -> HttpRequest:
+    def drop_cache(self, address: str, prompt: PrefilledPrompt) -> HttpRequest:
         """Write the request that frees a KV cache which nobody will fetch."""
 
-    def ask_parts(self, belief: TargetBelief) -> HttpRequest:
+    def ask_parts(self, estimate: TargetEstimate) -> HttpRequest:
         """Write the question what an engine's memory holds."""
 
     def read_parts(
@@ -155,7 +155,7 @@
     ) -> Result[tuple[PromptPart, ...], ReplyInvalid]:
         """Read what an engine's memory holds, the least recently used first."""
 
-    def ask_report(self, belief: TargetBelief) -> HttpRequest:
+    def ask_report(self, estimate: TargetEstimate) -> HttpRequest:
         """Write the request for an engine's report."""
 
     def read_report(self, reply: HttpReply) -> Result[EngineReport, ReplyInvalid]:
@@ -163,7 +163,7 @@
 
     def change_role(
         self,
-        belief: TargetBelief,
+        estimate: TargetEstimate,
         report: EngineReport,
         role: EngineRole,
         holder: str,
--- a/pimentolink/directwrite.py
+++ b/pimentolink/directwrite.py
@@ -8,7 +8,7 @@
 
 from twisted.internet import tcp
 
-from pimentolink.egressqueue import Uplink
+from pimentolink.egressqueue import EgressQueue
 
 
 class _DirectWrites:
@@ -19,15 +19,15 @@
     two changes to the poller for each token of a stream. Here the socket is tried
     first, and only what it does not take is buffered as usual.
 
-    :cvar uplink: learns what is written; ``None`` if nobody asks.
+    :cvar egress_queue: learns what is written; ``None`` if nobody asks.
     """
 
-    uplink: Uplink | None = None
+    egress_queue: EgressQueue | None = None
 
     def write(self: Any, data: bytes) -> None:
         """Write now what the socket takes, buffer the rest."""
-        if self.uplink is not None:
-            self.uplink.sent(len(data))
+        if self.egress_queue is not None:
+            self.egress_queue.sent(len(data))
         if self._may_write_now():
             written = self.writeSomeData(data)
             # An exception in place of a count is a lost connection, which the
@@ -73,13 +73,13 @@
 class _DirectConnector(tcp.Connector):
     """Makes outgoing connections that write at once."""
 
-    uplink: Uplink | None = None
+    egress_queue: EgressQueue | None = None
 
     def _makeTransport(self) -> DirectClient:  # noqa: N802
         client = DirectClient(
             self.host, self.port, self.bindAddress, self, self.reactor
         )
-        client.uplink = self.uplink
+        client.egress_queue = self.egress_queue
         return client
 
 
@@ -96,7 +96,7 @@
     factory: Any,
     backlog: int,
     send_buffer: int = 0,
-    uplink: Uplink | None = None,
+    egress_queue: EgressQueue | None = None,
 ) -> Any:
     """
     Listen for connections that write at once.
@@ -107,7 +107,7 @@
     :param factory: makes a protocol for each connection.
     :param backlog: connections that may wait to be accepted.
     :param send_buffer: bytes that the system may keep for a slow peer.
-    :param uplink: learns what is written.
+    :param egress_queue: learns what is written.
     :returns: the listening port.
     """
     listening = DirectPort(port, factory, backlog, host, reactor)
@@ -116,7 +116,7 @@
         """A connection with this port's bound."""
 
     BoundedServer.send_buffer = send_buffer
-    BoundedServer.uplink = uplink
+    BoundedServer.egress_queue = egress_queue
     listening.transport = BoundedServer
     listening.startListening()
     return listening
@@ -128,7 +128,7 @@
     port: int,
     factory: Any,
     timeout: float,
-    uplink: Uplink | None = None,
+    egress_queue: EgressQueue | None = None,
 ) -> Any:
     """
     Connect, with writes that go out at once.
@@ -138,11 +138,11 @@
     :param port: TCP port.
     :param factory: makes the protocol of the connection.
     :param timeout: seconds until the attempt counts as failed.
-    :param uplink: learns what is written.
+    :param egress_queue: learns what is written.
     :returns: the connector.
     """
     connector = _DirectConnector(host, port, factory, timeout, None, reactor)
-    connector.uplink = uplink
+    connector.egress_queue = egress_queue
     connector.connect()
     return connector
 
@@ -154,18 +154,18 @@
     :source: ``IReactorTCP.connectTCP`` of Twisted.
     """
 
-    def __init__(self, reactor: Any, uplink: Uplink | None = None) -> None:
+    def __init__(self, reactor: Any, egress_queue: EgressQueue | None = None) -> None:
         """
         Wrap a loop.
 
         :param reactor: the loop.
-        :param uplink: learns what is written.
+        :param egress_queue: learns what is written.
         """
         self._reactor = reactor
-        self._uplink = uplink
+        self._egress_queue = egress_queue
 
     def connectTCP(  # noqa: N802
         self, host: str, port: int, factory: Any, timeout: float, **unused: Any
     ) -> Any:
         """Connect as the loop would; endpoints of this product bind no address."""
-        return connect(self._reactor, host, port, factory, timeout, self._uplink)
+        return connect(self._reactor, host, port, factory, timeout, self._egress_queue)
--- a/pimentolink/dispatcher.py
+++ b/pimentolink/dispatcher.py
@@ -40,7 +40,7 @@
 
 # Attempts at one target that failed, after which the end of a planned change of another
 # target is waited for.
-MOST_BEFORE_WAITING = 2
+MAX_BEFORE_WAITING = 2
 # Seconds between two looks of a request that waits for it, in case its end is not told.
 CHANGE_CHECK = 1.0
 
@@ -272,7 +272,7 @@
         was_waiting = self._drop_timer(work, "change")
         progress, now = work.progress, self._timers.now()
         failed = progress.tried_target_ids.count(target.target_id) if target else 0
-        if target is not None and failed < MOST_BEFORE_WAITING:
+        if target is not None and failed < MAX_BEFORE_WAITING:
             return False
         service = progress.request.service
         ends_in = self._router.change_ends_in(service, now)
--- a/pimentolink/egressqueue.py
+++ b/pimentolink/egressqueue.py
@@ -9,7 +9,7 @@
 MEGABIT = 1_000_000
 
 
-class Uplink:
+class EgressQueue:
     """
     The queue of bytes that this instance has written and that are still leaving it.
 
--- a/pimentolink/endedtargets.py
+++ b/pimentolink/endedtargets.py
@@ -23,7 +23,7 @@
     ended_at: float | None
 
 
-class EndedLives:
+class EndedTargets:
     """
     Tells entries of a restored store that are older than what was known before.
 
--- a/pimentolink/fleet.py
+++ b/pimentolink/fleet.py
@@ -9,45 +9,47 @@
 from pimentolink.dialect import PromptPart
 from pimentolink.gatewaysettings import EjectionSettings, PlacementSettings
 from pimentolink.prefillcost import ServiceCosts, Slowness
-from pimentolink.prefixcache import PartIndex
+from pimentolink.prefixcache import PrefixCacheIndex
 from pimentolink.routes import EngineModel
-from pimentolink.targetestimate import EngineRole, Target, TargetBelief
+from pimentolink.targetestimate import EngineRole, Target, TargetEstimate
 
 # Seconds after a freeze in which failures are taken for its consequences.
 THAW_GRACE = 1.0
 # Targets of one role that are compared for one decision. With more, those that hold
 # parts of the prompt and a random sample are, so that a decision's time does not grow
 # with the service.
-MOST_COMPARED = 64
+MAX_COMPARED = 64
 # Of these, targets that hold parts of the prompt.
-MOST_HOLDERS = 16
+MAX_HOLDERS = 16
 
 
 class _Group:
     """The targets of one service in one role."""
 
     def __init__(self, is_own: Callable[[Target], bool]) -> None:
-        self.beliefs_by_id: dict[str, TargetBelief] = {}
+        self.estimates_by_id: dict[str, TargetEstimate] = {}
         self._is_own = is_own
-        self._own: list[TargetBelief] | None = None
+        self._own: list[TargetEstimate] | None = None
 
-    def add(self, belief: TargetBelief) -> None:
-        self.beliefs_by_id[belief.target.target_id] = belief
+    def add(self, estimate: TargetEstimate) -> None:
+        self.estimates_by_id[estimate.target.target_id] = estimate
         self._own = None
 
-    def remove(self, belief: TargetBelief) -> None:
-        self.beliefs_by_id.pop(belief.target.target_id, None)
+    def remove(self, estimate: TargetEstimate) -> None:
+        self.estimates_by_id.pop(estimate.target.target_id, None)
         self._own = None
 
     def divide(self) -> None:
         """Learn that cells have changed."""
         self._own = None
 
-    def own(self) -> list[TargetBelief]:
+    def own(self) -> list[TargetEstimate]:
         """List those of the own cell; the list is kept until the next change."""
         if self._own is None:
-            beliefs = self.beliefs_by_id.values()
-            self._own = [belief for belief in beliefs if self._is_own(belief.target)]
+            beliefs = self.estimates_by_id.values()
+            self._own = [
+                estimate for estimate in beliefs if self._is_own(estimate.target)
+            ]
         return self._own
 
 
@@ -67,10 +69,10 @@
         self._placement = placement
         self._ejection = ejection
         self._random = random
-        self.targets_by_id: dict[str, TargetBelief] = {}
-        self._beliefs_by_key: dict[int, TargetBelief] = {}
+        self.targets_by_id: dict[str, TargetEstimate] = {}
+        self._estimates_by_key: dict[int, TargetEstimate] = {}
         self._groups_by_service: dict[str, dict[EngineRole, _Group]] = {}
-        self._index = PartIndex()
+        self._index = PrefixCacheIndex()
         self._costs_by_service: dict[str, ServiceCosts] = {}
         self._models_by_service: dict[str, EngineModel | None] = {}
         self._forgiven_until = 0.0
@@ -78,7 +80,7 @@
         self._cells = Cells()
         self._cell = 0
 
-    def told_waiting(self, gateway: str, work_by_service: dict[str, float]) -> None:
+    def update_waiting(self, gateway: str, work_by_service: dict[str, float]) -> None:
         """
         Learn what waits at another gateway.
 
@@ -115,14 +117,14 @@
     def set_models(self, models_by_service: dict[str, EngineModel | None]) -> None:
         """Learn which services have engines, and of which model."""
         self._models_by_service = models_by_service
-        for belief in self.targets_by_id.values():
-            belief.set_model(models_by_service.get(belief.target.service))
+        for estimate in self.targets_by_id.values():
+            estimate.set_model(models_by_service.get(estimate.target.service))
 
     def model(self, service: str) -> EngineModel | None:
         """Tell what is known of a service's engines; ``None`` for other services."""
         return self._models_by_service.get(service)
 
-    def put(self, target: Target) -> TargetBelief:
+    def put(self, target: Target) -> TargetEstimate:
         """
         Take a target in, or what has changed of it.
 
@@ -137,10 +139,10 @@
             self._replace(known)
             known = None
         if known is None:
-            known = TargetBelief(target, self.costs(target.service), self._index)
+            known = TargetEstimate(target, self.costs(target.service), self._index)
             known.set_model(self._models_by_service.get(target.service))
             self.targets_by_id[target.target_id] = known
-            self._beliefs_by_key[target.key] = known
+            self._estimates_by_key[target.key] = known
         else:
             self._group(known.target).remove(known)
         if target.role is not known.target.role:
@@ -151,42 +153,44 @@
         self._group(target).add(known)
         return known
 
-    def _replace(self, belief: TargetBelief) -> None:
+    def _replace(self, estimate: TargetEstimate) -> None:
         """Keep work that refers to a life that ended from using it."""
-        self.remove(belief.target.target_id)
-        belief.is_replaced = True
-        belief.missing_since = belief.missing_since or 0.0
+        self.remove(estimate.target.target_id)
+        estimate.is_replaced = True
+        estimate.missing_since = estimate.missing_since or 0.0
 
-    def remove(self, target_id: str) -> TargetBelief | None:
+    def remove(self, target_id: str) -> TargetEstimate | None:
         """Forget a target that is gone."""
-        belief = self.targets_by_id.pop(target_id, None)
-        if belief is not None:
-            self._group(belief.target).remove(belief)
-            belief.parts.forget()
-            if self._beliefs_by_key.get(belief.target.key) is belief:
-                del self._beliefs_by_key[belief.target.key]
-        return belief
-
-    def find(self, key: int) -> TargetBelief | None:
+        estimate = self.targets_by_id.pop(target_id, None)
+        if estimate is not None:
+            self._group(estimate.target).remove(estimate)
+            estimate.parts.forget()
+            if self._estimates_by_key.get(estimate.target.key) is estimate:
+                del self._estimates_by_key[estimate.target.key]
+        return estimate
+
+    def find(self, key: int) -> TargetEstimate | None:
         """
         Find a target as other gateways name it.
 
         :param key: see :func:`~pimentolink.peermessages.target_key`.
         """
-        return self._beliefs_by_key.get(key)
+        return self._estimates_by_key.get(key)
 
     def _group(self, target: Target) -> _Group:
         groups = self._groups_by_service.setdefault(target.service, {})
         return groups.setdefault(target.role, _Group(self._is_own))
 
-    def of_service(self, service: str) -> list[TargetBelief]:
+    def of_service(self, service: str) -> list[TargetEstimate]:
         """List the targets of a service."""
         groups = self._groups_by_service.get(service, {}).values()
-        return [belief for group in groups for belief in group.beliefs_by_id.values()]
+        return [
+            estimate for group in groups for estimate in group.estimates_by_id.values()
+        ]
 
     def usable(
         self, service: str, now: float, parts: tuple[PromptPart, ...] = ()
-    ) -> list[TargetBelief]:
+    ) -> list[TargetEstimate]:
         """
         List targets of a service that may get work.
 
@@ -196,13 +200,13 @@
 
         :param parts: of a prompt; those that hold some of it are listed first.
         """
-        found: list[TargetBelief] = []
+        found: list[TargetEstimate] = []
         for group in self._groups_by_service.get(service, {}).values():
             compared = self._compared(group, parts)
-            able = [belief for belief in compared if belief.is_usable(now)]
-            if not able and len(compared) < len(group.beliefs_by_id):
-                every = group.beliefs_by_id.values()
-                able = [belief for belief in every if belief.is_usable(now)]
+            able = [estimate for estimate in compared if estimate.is_usable(now)]
+            if not able and len(compared) < len(group.estimates_by_id):
+                every = group.estimates_by_id.values()
+                able = [estimate for estimate in every if estimate.is_usable(now)]
             found += self._healthy(able, now)
         return found
 
@@ -210,30 +214,30 @@
         """Estimate how many targets of a service take work, of a large one by some."""
         groups = self._groups_by_service.get(service, {}).values()
         listed = sum(len(group.own()) for group in groups)
-        seen = sum(min(len(group.own()), MOST_COMPARED) for group in groups)
+        seen = sum(min(len(group.own()), MAX_COMPARED) for group in groups)
         if not listed:
             return float(len(self.usable(service, now)))
         return len(self.usable(service, now)) * listed / max(1, seen)
 
     def _compared(
         self, group: _Group, parts: tuple[PromptPart, ...]
-    ) -> list[TargetBelief]:
+    ) -> list[TargetEstimate]:
         """Choose whom to compare: all, or who holds the prompt and a sample."""
         own = group.own()
-        if len(own) <= MOST_COMPARED:
+        if len(own) <= MAX_COMPARED:
             return own
         chosen = {
-            target_id: group.beliefs_by_id[target_id]
-            for target_id in self._index.owners(parts, MOST_HOLDERS)
-            if target_id in group.beliefs_by_id
-            and self._is_own(group.beliefs_by_id[target_id].target)
+            target_id: group.estimates_by_id[target_id]
+            for target_id in self._index.owners(parts, MAX_HOLDERS)
+            if target_id in group.estimates_by_id
+            and self._is_own(group.estimates_by_id[target_id].target)
         }
-        for belief in self._random.sample(own, MOST_COMPARED - len(chosen)):
-            chosen[belief.target.target_id] = belief
+        for estimate in self._random.sample(own, MAX_COMPARED - len(chosen)):
+            chosen[estimate.target.target_id] = estimate
         return list(chosen.values())
 
-    def _healthy(self, group: list[TargetBelief], now: float) -> list[TargetBelief]:
-        healthy = [belief for belief in group if not belief.is_ejected(now)]
+    def _healthy(self, group: list[TargetEstimate], now: float) -> list[TargetEstimate]:
+        healthy = [estimate for estimate in group if not estimate.is_ejected(now)]
         least = len(group) * (1 - self._ejection.most_share)
         return healthy if len(healthy) >= least else group
 
@@ -245,10 +249,10 @@
         this a gateway that stood still for 7 s ejected every target it knew.
         """
         self._forgiven_until = now + THAW_GRACE
-        for belief in self.targets_by_id.values():
-            belief.forgive()
+        for estimate in self.targets_by_id.values():
+            estimate.forgive()
 
-    def failed(self, belief: TargetBelief, now: float) -> bool:
+    def failed(self, estimate: TargetEstimate, now: float) -> bool:
         """
         Count a failure of a target.
 
@@ -256,7 +260,7 @@
         """
         if now < self._forgiven_until:
             return False
-        return belief.failed(now, self._ejection)
+        return estimate.failed(now, self._ejection)
 
     def costs(self, service: str) -> ServiceCosts:
         """Tell what was learned of a service's engines, over lives of each."""
--- a/pimentolink/gateway.py
+++ b/pimentolink/gateway.py
@@ -17,13 +17,13 @@
 from pimentolink.calls import Caller
 from pimentolink.cells import Cells
 from pimentolink.configurationage import ConfigurationAge
-from pimentolink.configurationverifier import ConfigurationProver
+from pimentolink.configurationverifier import ConfigurationVerifier
 from pimentolink.dialect import Dialect
-from pimentolink.egressqueue import Uplink
+from pimentolink.egressqueue import EgressQueue
 from pimentolink.errors import SettingsInvalid
 from pimentolink.fleet import Fleet
 from pimentolink.forwarder import Forwarder
-from pimentolink.gatewaydelay import OwnDelay
+from pimentolink.gatewaydelay import GatewayDelay
 from pimentolink.gatewaysettings import GatewaySettings
 from pimentolink.generation import Generations
 from pimentolink.httptypes import Headers, HttpRequest
@@ -38,17 +38,17 @@
 from pimentolink.peers import PeerProtocol, choose_peers
 from pimentolink.placement import Placer
 from pimentolink.plaincalls import PlainCalls
-from pimentolink.prefillqueue import ReadingQueue
-from pimentolink.prefillscheduler import Readings
+from pimentolink.prefillqueue import PrefillQueue
+from pimentolink.prefillscheduler import PrefillScheduler
 from pimentolink.quarantine import Quarantine
 from pimentolink.registration import Registration
 from pimentolink.retrylimiter import RetryLimiter
 from pimentolink.rolebalance import RoleBalancer
-from pimentolink.rolecontroller import OrderHolder
+from pimentolink.rolecontroller import RoleController
 from pimentolink.routes import CallerBounds, RoutingTables
 from pimentolink.settings import split_address
 from pimentolink.sharedbudget import SharedBudgets
-from pimentolink.stalldetector import FreezeWatch
+from pimentolink.stalldetector import StallDetector
 from pimentolink.timers import Repeater, Timers, pause
 from pimentolink.usagereporter import UsageApi
 
@@ -104,8 +104,8 @@
         self._random = Random(self._life)
         self._cells = Cells()
         self._cell_gateways: tuple[str, ...] = ()
-        self._own_delay = OwnDelay()
-        self._uplink = Uplink(settings.link_megabits, timers)
+        self._own_delay = GatewayDelay()
+        self._egress_queue = EgressQueue(settings.link_megabits, timers)
         self.tables = RoutingTables()
         bound = settings.revoke_within_ms
         self._revoke_within = bound / 1000 if bound is not None else None
@@ -121,7 +121,7 @@
             timers,
             self.log,
             self.metrics,
-            self._uplink,
+            self._egress_queue,
         )
         self._quarantine = Quarantine(
             settings,
@@ -134,7 +134,7 @@
         )
         self._quarantine.store.is_divided = lambda: self._cells.count > 1
         self._caller = Caller(
-            directwrite.DirectEndpointReactor(reactor, self._uplink),
+            directwrite.DirectEndpointReactor(reactor, self._egress_queue),
             settings.connections,
             self.fleet,
             dialect,
@@ -144,12 +144,12 @@
             self.metrics,
         )
         self._quarantine.reports.is_listening = self._caller.is_listening
-        self._caller.most_connections = self._most_connections
+        self._caller.max_connections = self._max_connections
         placer = Placer(
             settings.placement,
             self.fleet,
             settings.data_centre,
-            self._uplink,
+            self._egress_queue,
             self._own_delay,
         )
         self.readings = self._make_readings(placer)
@@ -177,7 +177,7 @@
         )
         self.membership.on_leader = self.leadership.key_changed
         self.leadership.lead = self._make_orders().lead
-        self._prover = self._make_prover(documents, keyspace)
+        self._verifier = self._make_prover(documents, keyspace)
         self._metering = self._make_metering(keyspace, usage_api)
         keyspace.on_restored = self._store_restored
         self._factory = CallerFactory(
@@ -190,13 +190,13 @@
         )
         self._ports: list[Any] = []
         self._reloading: Repeater | None = None
-        self._freezes = FreezeWatch(timers, self.log, self._thawed)
+        self._freezes = StallDetector(timers, self.log, self._thawed)
         self.is_stopping = False
 
-    def _make_readings(self, placer: Placer) -> Readings:
-        self._queue = ReadingQueue(self._settings.placement, placer)
+    def _make_readings(self, placer: Placer) -> PrefillScheduler:
+        self._queue = PrefillQueue(self._settings.placement, placer)
         self._peers.waiting_work = self._queue.waiting_work
-        readings = Readings(
+        readings = PrefillScheduler(
             self._queue,
             self._peers,
             self._timers,
@@ -204,7 +204,7 @@
             self._life,
             self._own_delay,
         )
-        self._peers.open_readings = readings.open_readings
+        self._peers.open_prefills = readings.open_prefills
         return readings
 
     def _make_membership(self, documents: Documents) -> Membership:
@@ -237,11 +237,11 @@
 
     def _make_prover(
         self, documents: Documents, keyspace: Keyspace
-    ) -> ConfigurationProver | None:
+    ) -> ConfigurationVerifier | None:
         """Make what keeps the configuration proven, where keys are bound to it."""
         if self._revoke_within is None:
             return None
-        prover = ConfigurationProver(
+        verifier = ConfigurationVerifier(
             self._settings.instance,
             documents.configuration_key,
             keyspace,
@@ -250,13 +250,13 @@
             self._peers,
             self._timers,
         )
-        prover.is_needed = self._has_keys
-        prover.may_ask = self._may_ask_store
-        prover.gateways = lambda: self._cell_gateways
-        prover.version = lambda: self.tables.table.version if self.tables.table else 0
-        self._peers.on_proof = prover.take
-        prover.on_change = self.membership.key_changed
-        return prover
+        verifier.is_needed = self._has_keys
+        verifier.may_ask = self._may_ask_store
+        verifier.gateways = lambda: self._cell_gateways
+        verifier.version = lambda: self.tables.table.version if self.tables.table else 0
+        self._peers.on_proof = verifier.take
+        verifier.on_change = self.membership.key_changed
+        return verifier
 
     def _has_keys(self) -> bool:
         table = self.tables.table
@@ -278,15 +278,15 @@
             self._timers,
             self.log,
         )
-        metering.teller.gateways = lambda: self.membership.gateways_by_name
+        metering.publisher.gateways = lambda: self.membership.gateways_by_name
         self.membership.on_usage = metering.key_changed
         self.forwarder.on_run = metering.begun
         return metering
 
-    def _make_orders(self) -> OrderHolder:
+    def _make_orders(self) -> RoleController:
         balancer = RoleBalancer(self._settings.roles, self.fleet)
-        balancer.unmet_reading = self._unmet_reading
-        orders = OrderHolder(
+        balancer.unmet_prefill = self._unmet_reading
+        orders = RoleController(
             self.leadership,
             balancer,
             self.fleet,
@@ -347,7 +347,7 @@
                     port,
                     factory,
                     backlog=512,
-                    uplink=self._uplink,
+                    egress_queue=self._egress_queue,
                 )
             )
         host, port = split_address(self._settings.peers)
@@ -357,8 +357,8 @@
         self._registration.start()
         self.leadership.start()
         self._peers.start()
-        if self._prover is not None:
-            self._prover.start()
+        if self._verifier is not None:
+            self._verifier.start()
         if self._metering is not None:
             self._metering.start()
         self._reloading = Repeater(self._timers, RELOAD_INTERVAL, self.reload)
@@ -383,8 +383,8 @@
             self.log.write(LogEvent.STOP_TIMEOUT, in_work=self.forwarder.in_work)
         self._follower.stop()
         self._freezes.stop()
-        if self._prover is not None:
-            self._prover.stop()
+        if self._verifier is not None:
+            self._verifier.stop()
         if self._metering is not None:
             self._metering.stop()
         self._peers.stop()
@@ -435,14 +435,14 @@
         gateways = max(1, len(self.membership.gateways_by_name))
         return self._queue.unmet(service, self._timers.now()) * gateways
 
-    def _most_connections(self, service: str) -> int:
+    def _max_connections(self, service: str) -> int:
         """Tell this gateway's part of the connections that a target takes."""
         most = self._settings.connections.most
         table = self.tables.table
         found = table.services_by_name.get(service) if table is not None else None
         if found is None:
             return most
-        return max(1, min(most, found.most_connections // self.budgets.gateways))
+        return max(1, min(most, found.max_connections // self.budgets.gateways))
 
     def _fleet_changed(self) -> None:
         gateways = self.membership.gateways_by_name
@@ -480,8 +480,8 @@
     def _read_again(self) -> None:
         """Read the store again, which may have changed unseen."""
         self._follower.restart()
-        if self._prover is not None:
-            self._prover.restart()
+        if self._verifier is not None:
+            self._verifier.restart()
 
     def _store_restored(self) -> None:
         """Read the store again, and write again what it lost."""
--- a/pimentolink/gatewaydelay.py
+++ b/pimentolink/gatewaydelay.py
@@ -13,7 +13,7 @@
 PRIOR = 2.0
 
 
-class OwnDelay:
+class GatewayDelay:
     """
     The mean of what readings took beyond what was predicted, over the last moments.
 
--- a/pimentolink/generation.py
+++ b/pimentolink/generation.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred
 
 from pimentolink.calls import Call, Caller
-from pimentolink.dialect import Dialect, ReadPrompt, Sending, Verdict
+from pimentolink.dialect import Dialect, PrefilledPrompt, Sending, Verdict
 from pimentolink.errors import (
     UNSENT,
     ConnectionBroken,
@@ -22,11 +22,11 @@
 from pimentolink.forwarder import Work, pass_on
 from pimentolink.httptypes import HttpReply, end_to_end
 from pimentolink.logs import Log, LogEvent
-from pimentolink.placement import MOST_SIZE, Placer, SizeScale, WaitingPrompt
-from pimentolink.prefillscheduler import Readings, Ticket
+from pimentolink.placement import MAX_SIZE, Placer, SizeScale, WaitingPrompt
+from pimentolink.prefillscheduler import PrefillScheduler, Ticket
 from pimentolink.retrylimiter import RetryLimiter
 from pimentolink.routes import Repeatability
-from pimentolink.targetestimate import TargetBelief
+from pimentolink.targetestimate import TargetEstimate
 from pimentolink.timers import Timers, with_timeout
 
 # A reading that takes this many times what was predicted, and this many seconds more,
@@ -34,7 +34,7 @@
 READING_PATIENCE = 3.0
 READING_GRACE = 0.6
 # Priorities of engines go from 0 to 9.
-LEAST_URGENT = 9
+LOWEST_PRIORITY = 9
 
 
 class _Prepared(NamedTuple):
@@ -44,8 +44,8 @@
     :ivar reader: the engine that holds its KV cache.
     """
 
-    prompt: ReadPrompt
-    reader: TargetBelief
+    prompt: PrefilledPrompt
+    reader: TargetEstimate
 
 
 class Generations:
@@ -60,7 +60,7 @@
         self,
         caller: Caller,
         dialect: Dialect,
-        readings: Readings,
+        readings: PrefillScheduler,
         placer: Placer,
         retry_limiter: RetryLimiter,
         timers: Timers,
@@ -125,7 +125,7 @@
         """Read the prompt, have the answer written and relay it."""
         await self._caller.admit(work.request)
         ticket = await self._readings.wait(self._waiting(work, relay))
-        if ticket.placement.is_reading_only:
+        if ticket.placement.is_prefill_only:
             prepared = await self._read(work, ticket, relay)
             call = await self._write(work, prepared, relay)
             await self._relay(work, call, relay)
@@ -143,7 +143,7 @@
         )
         if relay.has_begun:
             # Its caller sees a pause and soon gives up; nothing else is as urgent.
-            size = MOST_SIZE
+            size = MAX_SIZE
         return WaitingPrompt(
             request_id=request.request_id,
             service=work.service,
@@ -158,17 +158,17 @@
             body_bytes=len(request.http.body),
         )
 
-    def _sending(self, work: Work, belief: TargetBelief, relay: _Relay) -> Sending:
+    def _sending(self, work: Work, estimate: TargetEstimate, relay: _Relay) -> Sending:
         return Sending(
-            target_id=belief.target.target_id,
+            target_id=estimate.target.target_id,
             time_left=work.time_left(self._timers.now()),
-            priority=min(LEAST_URGENT, work.priority),
+            priority=min(LOWEST_PRIORITY, work.priority),
             last_event=relay.last_event,
         )
 
     async def _read(self, work: Work, ticket: Ticket, relay: _Relay) -> _Prepared:
         """Have the prompt read by an engine that leaves the answer to another."""
-        reader = ticket.placement.belief
+        reader = ticket.placement.estimate
         patience = READING_PATIENCE * ticket.expected + READING_GRACE
         is_good = False
         is_repeat = relay.readings > 0
@@ -192,12 +192,12 @@
         return prepared
 
     async def _read_at(self, work: Work, ticket: Ticket) -> _Prepared:
-        reader = ticket.placement.belief
+        reader = ticket.placement.estimate
         sending = Sending(
             target_id=reader.target.target_id,
             time_left=work.time_left(self._timers.now()),
-            priority=min(LEAST_URGENT, work.priority),
-            is_reading=True,
+            priority=min(LOWEST_PRIORITY, work.priority),
+            is_prefill=True,
             copy_from=ticket.placement.copy_from,
         )
         call = await self._caller.begin(work.request, reader, sending)
@@ -247,26 +247,30 @@
 
     async def _read_and_write(self, work: Work, ticket: Ticket, relay: _Relay) -> Call:
         """Have one engine read the prompt and write the answer."""
-        belief = ticket.placement.belief
+        estimate = ticket.placement.estimate
         is_good = False
         try:
-            sending = self._sending(work, belief, relay)
+            sending = self._sending(work, estimate, relay)
             sending = sending._replace(copy_from=ticket.placement.copy_from)
-            call = await self._run(work, belief, sending)
+            call = await self._run(work, estimate, sending)
             is_good = True
         finally:
             self._readings.end(ticket, is_good)
         return call
 
-    async def _run(self, work: Work, belief: TargetBelief, sending: Sending) -> Call:
+    async def _run(
+        self, work: Work, estimate: TargetEstimate, sending: Sending
+    ) -> Call:
         """Send the request to be run, and wait for the head of the answer."""
         is_once = work.route.repeatability is Repeatability.ONCE
         is_repeat = work.attempts.count > 0
         attempt = self._retry_limiter.spend(work, is_repeat)
-        work.attempts.sent(belief.target.target_id)
+        work.attempts.sent(estimate.target.target_id)
         try:
             with attempt:
-                call = await self._caller.begin(work.request, belief, sending, is_once)
+                call = await self._caller.begin(
+                    work.request, estimate, sending, is_once
+                )
         except Failure as failure:
             work.attempts.failed(failure)
             raise
@@ -304,11 +308,11 @@
         except Failure as failure:
             call.close()
             if not isinstance(failure, StreamBroken):
-                self._caller.blame(work.request, call.belief, failure, call.sent_at)
+                self._caller.blame(work.request, call.estimate, failure, call.sent_at)
             raise
         finally:
             call.close()
-        self._caller.succeeded(work.request, call.belief)
+        self._caller.succeeded(work.request, call.estimate)
 
     async def _relay_failure(self, work: Work, call: Call, relay: _Relay) -> None:
         reply: HttpReply = await call.read_all()
--- a/pimentolink/httphead.py
+++ b/pimentolink/httphead.py
@@ -17,18 +17,18 @@
 
 
 def split_head(
-    received: bytes, most_bytes: int
+    received: bytes, max_bytes: int
 ) -> Result[int, InvalidRequest | HeadTooLarge]:
     """
     Find the end of a request's head.
 
     :param received: what came so far.
-    :param most_bytes: largest head that is taken.
+    :param max_bytes: largest head that is taken.
     :returns: length of the head; 0 while it is incomplete.
     """
     end = received.find(HEAD_END)
-    if end > most_bytes or (end < 0 and len(received) > most_bytes):
-        return Err(HeadTooLarge(f"the head is over {most_bytes} bytes"))
+    if end > max_bytes or (end < 0 and len(received) > max_bytes):
+        return Err(HeadTooLarge(f"the head is over {max_bytes} bytes"))
     if end >= 0:
         return Ok(end + len(HEAD_END))
     # A last byte of CR may still get its LF.
--- a/pimentolink/logs.py
+++ b/pimentolink/logs.py
@@ -348,7 +348,7 @@
 
 # Bytes of log lines kept for a reader that is slow; what comes on top is dropped and
 # counted. At 250 bytes a line this is what a busy gateway writes in ten seconds.
-MOST_LOG_BYTES = 262_144
+MAX_LOG_BYTES = 262_144
 
 
 class BoundedWriter:
@@ -368,7 +368,7 @@
     def write(self, text: str) -> int:
         """Write a line, or keep it for the next time."""
         data = text.encode()
-        if len(self._pending) + len(data) > MOST_LOG_BYTES:
+        if len(self._pending) + len(data) > MAX_LOG_BYTES:
             self.dropped += 1
         else:
             if self.dropped:
--- a/pimentolink/membership.py
+++ b/pimentolink/membership.py
@@ -9,7 +9,7 @@
 from result import Err, Result
 
 from pimentolink.configurationage import ConfigurationAge
-from pimentolink.endedtargets import EndedLives
+from pimentolink.endedtargets import EndedTargets
 from pimentolink.errors import DocumentInvalid
 from pimentolink.fleet import Fleet
 from pimentolink.gatewaysettings import StoreSettings
@@ -72,7 +72,7 @@
         self._tables = tables
         self._fleet = fleet
         self._age = age
-        self._ended = EndedLives()
+        self._ended = EndedTargets()
         self._epoch = 0
         self._documents = documents
         self._settings = settings
@@ -226,32 +226,32 @@
 
     def _target_missing(self, target_id: str) -> None:
         """Keep a target from work until it is back, or for good."""
-        belief = self._fleet.targets_by_id[target_id]
-        if belief.missing_since is not None:
+        estimate = self._fleet.targets_by_id[target_id]
+        if estimate.missing_since is not None:
             return
         now = self._timers.now()
-        belief.missing_since = now
+        estimate.missing_since = now
         self._log.write(LogEvent.TARGET_MISSING, target=target_id)
         self._timers.call_later(
             self._settings.return_time, lambda: self._give_up(target_id)
         )
 
     def _give_up(self, target_id: str) -> None:
-        belief = self._fleet.targets_by_id.get(target_id)
-        if belief is not None and belief.missing_since is not None:
+        estimate = self._fleet.targets_by_id.get(target_id)
+        if estimate is not None and estimate.missing_since is not None:
             self._target_gone(target_id, "missing")
             self.on_changed()
 
     def _target_gone(self, target_id: str, reason: str) -> None:
-        belief = self._fleet.remove(target_id)
-        if belief is None:
+        estimate = self._fleet.remove(target_id)
+        if estimate is None:
             return
         # Work that still refers to it must not choose it again.
-        belief.missing_since = self._timers.now()
-        self._ended.ended(belief.target, self._epoch, self._timers.now())
+        estimate.missing_since = self._timers.now()
+        self._ended.ended(estimate.target, self._epoch, self._timers.now())
         self._log.write(LogEvent.TARGET_GONE, target=target_id, reason=reason)
         self.on_gone(target_id)
-        self.on_life_ended(belief.target, "no longer listed")
+        self.on_life_ended(estimate.target, "no longer listed")
 
     def _gateway_changed(self, change: Change) -> None:
         name = change.key.removeprefix(GATEWAY_PREFIX)
--- a/pimentolink/metering.py
+++ b/pimentolink/metering.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from pimentolink.clocksync import TrueTime
+from pimentolink.clocksync import SynchronizedClock
 from pimentolink.gatewaysettings import UsageSettings
 from pimentolink.keyspace import Change, Keyspace
 from pimentolink.leadership import Leadership
 from pimentolink.logs import Log
 from pimentolink.peers import PeerProtocol
 from pimentolink.timers import Timers
-from pimentolink.usagepublisher import UsageTeller
+from pimentolink.usagepublisher import UsagePublisher
 from pimentolink.usagereporter import UsageApi, UsageReporter
 
 
@@ -39,30 +39,30 @@
         :param timers: the timer service.
         :param log: where events go.
         """
-        clock = TrueTime(timers)
-        self.teller = UsageTeller(
+        clock = SynchronizedClock(timers)
+        self.publisher = UsagePublisher(
             leadership.instance, life, settings.window, peers, clock, timers
         )
-        self.teller.leader = lambda: leadership.leader
+        self.publisher.leader = lambda: leadership.leader
         self.reporter = UsageReporter(
-            settings, leadership, keyspace, api, self.teller, clock, timers, log
+            settings, leadership, keyspace, api, self.publisher, clock, timers, log
         )
-        leadership.on_leader = self.teller.tell_leader
-        peers.on_usage = self.teller.take
+        leadership.on_leader = self.publisher.tell_leader
+        peers.on_usage = self.publisher.take
 
     def start(self) -> None:
         """Count and report."""
-        self.teller.start()
+        self.publisher.start()
         self.reporter.start()
 
     def stop(self) -> None:
         """Tell the others what was counted here, and report no more."""
         self.reporter.stop()
-        self.teller.stop()
+        self.publisher.stop()
 
     def begun(self, organisation: str, began_at: float) -> None:
-        """Count a request; see :meth:`UsageTeller.begun`."""
-        self.teller.begun(organisation, began_at)
+        """Count a request; see :meth:`UsagePublisher.begun`."""
+        self.publisher.begun(organisation, began_at)
 
     def key_changed(self, change: Change) -> None:
         """Learn of a change of the key of reports."""
--- a/pimentolink/orders.py
+++ b/pimentolink/orders.py
@@ -122,9 +122,9 @@
         if group != self._group:
             self._group = group
             self._known_revision = 0
-            self.tell(1)
+            self.broadcast(1)
 
-    def tell(self, revision: int) -> None:
+    def broadcast(self, revision: int) -> None:
         """
         Take note that the plan has changed.
 
--- a/pimentolink/peermessages.py
+++ b/pimentolink/peermessages.py
@@ -9,27 +9,27 @@
 
 # Longest time, in seconds, for which a role change that another gateway told of keeps
 # an engine from work; a hundred times what the slowest known takes.
-MOST_CHANGING = 600.0
+MAX_CHANGING = 600.0
 
 # Most engine seconds that are believed to wait at one gateway; an hour of one engine.
-MOST_WORK = 3600.0
+MAX_WORK = 3600.0
 # Longest time, in milliseconds, that a prompt is believed to be on its way to an
 # engine; callers have left by then.
-MOST_WAY_MS = 30_000
+MAX_TRANSMISSION_DELAY_MS = 30_000
 # Changes of what waits that are told, in engine seconds.
 WORK_STEP = 0.02
 # Requests of one message of a crash, so that it fits into a datagram; and crashes of
 # one that is cleared.
-MOST_STRUCK = 32
-MOST_CRASHES = 64
+MAX_CRASH_FINGERPRINTS = 32
+MAX_CRASHES = 64
 
 # Bounds on what another gateway tells. A faulty one would otherwise make a target look
 # idle, busy or changing for good.
 _Natural = Annotated[int, msgspec.Meta(ge=0)]
-_Work = Annotated[float, msgspec.Meta(ge=0, le=MOST_WORK)]
-_Way = Annotated[int, msgspec.Meta(ge=0, le=MOST_WAY_MS)]
+_Work = Annotated[float, msgspec.Meta(ge=0, le=MAX_WORK)]
+_Way = Annotated[int, msgspec.Meta(ge=0, le=MAX_TRANSMISSION_DELAY_MS)]
 Fingerprint = Annotated[str, msgspec.Meta(pattern="^[0-9a-f]{32}$")]
-_Changing = Annotated[float, msgspec.Meta(ge=0, le=MOST_CHANGING)]
+_Changing = Annotated[float, msgspec.Meta(ge=0, le=MAX_CHANGING)]
 
 
 def target_key(target_id: str, born: int) -> int:
@@ -42,7 +42,7 @@
     return int(xxhash.xxh32_intdigest(f"{target_id}|{born}".encode()))
 
 
-class ReadingBegan(msgspec.Struct, tag="b", array_like=True):
+class PrefillStarted(msgspec.Struct, tag="b", array_like=True):
     """
     A prompt was sent to an engine.
 
@@ -62,7 +62,7 @@
     way_ms: _Way = 0
 
 
-class ReadingEnded(msgspec.Struct, tag="e", array_like=True):
+class PrefillEnded(msgspec.Struct, tag="e", array_like=True):
     """
     A reading came to its end; each gateway learns from it how long readings take.
 
@@ -74,11 +74,11 @@
     is_good: bool
 
 
-class OpenReadings(msgspec.Struct, tag="o", array_like=True):
+class OpenPrefills(msgspec.Struct, tag="o", array_like=True):
     """
     Readings of the sender's life that have not ended.
 
-    It makes up for a lost :class:`ReadingEnded`, which leaves work at its engine that
+    It makes up for a lost :class:`PrefillEnded`, which leaves work at its engine that
     is not there. As datagrams were lost on full links, engines looked busy, prompts
     were turned away, and those that came back kept the links full.
 
@@ -128,7 +128,9 @@
     """
 
     target: _Natural
-    fingerprints: Annotated[list[Fingerprint], msgspec.Meta(max_length=MOST_STRUCK)]
+    fingerprints: Annotated[
+        list[Fingerprint], msgspec.Meta(max_length=MAX_CRASH_FINGERPRINTS)
+    ]
     is_tried: bool = False
 
 
@@ -137,8 +139,10 @@
 ) -> list[TargetCrashed]:
     """Tell of a crash in as many messages as it takes."""
     return [
-        TargetCrashed(target, fingerprints[begin : begin + MOST_STRUCK], is_tried)
-        for begin in range(0, len(fingerprints), MOST_STRUCK)
+        TargetCrashed(
+            target, fingerprints[begin : begin + MAX_CRASH_FINGERPRINTS], is_tried
+        )
+        for begin in range(0, len(fingerprints), MAX_CRASH_FINGERPRINTS)
     ]
 
 
@@ -156,10 +160,10 @@
     """
 
     fingerprint: Fingerprint
-    targets: Annotated[list[_Natural], msgspec.Meta(max_length=MOST_CRASHES)]
+    targets: Annotated[list[_Natural], msgspec.Meta(max_length=MAX_CRASHES)]
 
 
-class ClockTold(msgspec.Struct, tag="w", array_like=True):
+class ClockReport(msgspec.Struct, tag="w", array_like=True):
     """
     What the sender's wall clock shows.
 
@@ -169,7 +173,7 @@
     wall_ms: _Natural
 
 
-class UsageTold(msgspec.Struct, tag="u", array_like=True):
+class UsageCounts(msgspec.Struct, tag="u", array_like=True):
     """
     How many requests began to run in a window, of some organisations.
 
@@ -184,7 +188,7 @@
     counts: dict[str, _Natural]
 
 
-class ProofAsked(msgspec.Struct, tag="p", array_like=True):
+class VerificationRequest(msgspec.Struct, tag="p", array_like=True):
     """
     How old is the proof that the receiver's configuration is the newest?
 
@@ -194,9 +198,9 @@
     number: _Natural
 
 
-class ProofTold(msgspec.Struct, tag="q", array_like=True):
+class VerificationReply(msgspec.Struct, tag="q", array_like=True):
     """
-    The answer to :class:`ProofAsked`.
+    The answer to :class:`VerificationRequest`.
 
     :ivar version: of the configuration that was the newest.
     :ivar epoch: of the store that showed it.
@@ -209,11 +213,11 @@
     age_ms: _Natural
 
 
-LoadNews = ReadingBegan | ReadingEnded | OpenReadings | InFlight | RoleChanging
-SuspectNews = TargetCrashed | SuspectTried | SuspectCleared
-UsageNews = ClockTold | UsageTold
-ProofNews = ProofAsked | ProofTold
-Message = LoadNews | SuspectNews | UsageNews | ProofNews
+LoadMessage = PrefillStarted | PrefillEnded | OpenPrefills | InFlight | RoleChanging
+SuspectMessage = TargetCrashed | SuspectTried | SuspectCleared
+UsageMessage = ClockReport | UsageCounts
+VerificationMessage = VerificationRequest | VerificationReply
+Message = LoadMessage | SuspectMessage | UsageMessage | VerificationMessage
 
 
 class Datagram(msgspec.Struct, array_like=True):
@@ -227,8 +231,8 @@
     messages: list[Message]
 
 
-class PeerNews(Protocol):
+class PeerPublisher(Protocol):
     """Tells other gateways."""
 
-    def tell(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         """Tell all gateways, without being sure that any learns it."""
--- a/pimentolink/peers.py
+++ b/pimentolink/peers.py
@@ -9,28 +9,28 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from pimentolink.cells import Cells
-from pimentolink.egressqueue import Uplink
+from pimentolink.egressqueue import EgressQueue
 from pimentolink.fleet import Fleet
 from pimentolink.logs import Log, LogEvent
 from pimentolink.metrics import Metrics
 from pimentolink.peermessages import (
-    MOST_WORK,
+    MAX_WORK,
     WORK_STEP,
     Datagram,
     InFlight,
     Message,
-    OpenReadings,
-    ProofNews,
-    SuspectNews,
-    UsageNews,
+    OpenPrefills,
+    SuspectMessage,
+    UsageMessage,
+    VerificationMessage,
 )
-from pimentolink.peerupdates import PeerBook
+from pimentolink.peerupdates import PeerUpdates
 from pimentolink.registration import GatewayEntry
 from pimentolink.settings import split_address
 from pimentolink.timers import Repeater, Timer, Timers
 
 # Largest datagram that no link on the way splits, in bytes.
-MOST_DATAGRAM = 1400
+MAX_DATAGRAM = 1400
 # Bytes of a datagram around its messages.
 FRAME = 10
 # Bytes of the heads of IP and UDP.
@@ -45,10 +45,10 @@
 # Seconds that bytes are queued on this instance's link from which on messages wait, and
 # the longest time that they do, so that prompts and answers do not wait for them.
 LINK_BUSY = 0.004
-MOST_WAIT = 0.05
+MAX_WAIT = 0.05
 # Targets of which one message tells the counts, so that it fits into a datagram; names
 # of targets have up to 24 bytes.
-MOST_COUNTS = 40
+MAX_COUNTS = 40
 
 
 # Sends a message back to where another one came from.
@@ -98,7 +98,7 @@
         :returns: whether it fits into one.
         """
         encoded = msgspec.msgpack.encode(message)
-        if len(encoded) + self._frame > MOST_DATAGRAM:
+        if len(encoded) + self._frame > MAX_DATAGRAM:
             return False
         self._waiting.append(msgspec.Raw(encoded))
         return True
@@ -109,7 +109,7 @@
         chunk: list[msgspec.Raw] = []
         size = self._frame
         for encoded in self._waiting:
-            if chunk and size + len(encoded) > MOST_DATAGRAM:
+            if chunk and size + len(encoded) > MAX_DATAGRAM:
                 datagrams.append(msgspec.msgpack.encode((self._life, chunk)))
                 chunk, size = [], self._frame
             chunk.append(encoded)
@@ -132,7 +132,7 @@
         timers: Timers,
         log: Log,
         metrics: Metrics,
-        uplink: Uplink,
+        egress_queue: EgressQueue,
     ) -> None:
         """
         Prepare.
@@ -145,16 +145,16 @@
         :param timers: the timer service.
         :param log: where events go.
         :param metrics: where figures go.
-        :param uplink: learns what is sent.
+        :param egress_queue: learns what is sent.
         """
         self._gateway = gateway
         self._fleet = fleet
-        self._book = PeerBook(fleet)
+        self._book = PeerUpdates(fleet)
         self._on_news = on_news
         self._timers = timers
         self._log = log
         self._metrics = metrics
-        self._uplink = uplink
+        self._egress_queue = egress_queue
         self._life = life
         self._outbox = PeerOutbox(life)
         self._repeater: Repeater | None = None
@@ -164,15 +164,19 @@
         self._told_whole_at = -REPEAT_INTERVAL
         self._is_whole_known = True
         self._decoder = msgspec.msgpack.Decoder(Datagram)
-        self._told_waiting: dict[str, float] = {}
-        self._told_open = OpenReadings(0, [])
-        self.open_readings: Callable[[], OpenReadings] = lambda: OpenReadings(0, [])
+        self._update_waiting: dict[str, float] = {}
+        self._told_open = OpenPrefills(0, [])
+        self.open_prefills: Callable[[], OpenPrefills] = lambda: OpenPrefills(0, [])
         self._addresses: list[tuple[str, int]] = []
         self.waiting_work: Callable[[], dict[str, float]] = dict
-        self.on_proof: Callable[[ProofNews, Answer], None] = lambda news, answer: None
-        self.on_usage: Callable[[str, UsageNews], None] = lambda life, news: None
+        self.on_proof: Callable[[VerificationMessage, Answer], None] = (
+            lambda news, answer: None
+        )
+        self.on_usage: Callable[[str, UsageMessage], None] = lambda life, news: None
         self.address_of: Callable[[str], str | None] = lambda gateway: None
-        self.on_suspects: Callable[[SuspectNews, str], None] = lambda news, source: None
+        self.on_suspects: Callable[[SuspectMessage, str], None] = lambda news, source: (
+            None
+        )
 
     def tell_to(self, addresses: Iterable[str]) -> None:
         """Learn the addresses of the gateways that are told from now on."""
@@ -189,7 +193,7 @@
         if self._flushing is not None:
             self._flushing.cancel()
 
-    def tell(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         """
         Tell all other gateways.
 
@@ -201,14 +205,14 @@
         self._add(message)
         if self._flushing is not None:
             return
-        queued = self._uplink.delay(0)
+        queued = self._egress_queue.delay(0)
         if queued <= LINK_BUSY:
             self._flush()
         else:
-            wait = min(MOST_WAIT, queued)
+            wait = min(MAX_WAIT, queued)
             self._flushing = self._timers.call_later(wait, self._flush)
 
-    def tell_some(self, gateways: Iterable[str], messages: list[Message]) -> None:
+    def send_to(self, gateways: Iterable[str], messages: list[Message]) -> None:
         """
         Tell some gateways, of any cell.
 
@@ -241,8 +245,8 @@
         is_open = bool(self._told_counts) or not self._is_whole_known
         has_changed = (
             self._counts() != self._told_counts
-            or self._waiting() != self._told_waiting
-            or self.open_readings() != self._told_open
+            or self._waiting() != self._update_waiting
+            or self.open_prefills() != self._told_open
         )
         if (is_due and is_open) or has_changed:
             self._flush()
@@ -250,15 +254,15 @@
     def _waiting(self) -> dict[str, float]:
         """Round what waits, so that small changes are not told."""
         return {
-            service: min(MOST_WORK, round(work / WORK_STEP) * WORK_STEP)
+            service: min(MAX_WORK, round(work / WORK_STEP) * WORK_STEP)
             for service, work in self.waiting_work().items()
         }
 
     def _counts(self) -> dict[str, int]:
         return {
-            target_id: belief.in_flight
-            for target_id, belief in self._fleet.targets_by_id.items()
-            if belief.in_flight
+            target_id: estimate.in_flight
+            for target_id, estimate in self._fleet.targets_by_id.items()
+            if estimate.in_flight
         }
 
     def _flush(self) -> None:
@@ -272,7 +276,7 @@
             self._send(datagram, self._addresses)
 
     def _add_open(self) -> None:
-        found = self.open_readings()
+        found = self.open_prefills()
         if found != self._told_open:
             self._told_open = found
             self._is_whole_known = False
@@ -282,9 +286,9 @@
         self._add_open()
         counts, told = self._counts(), self._told_counts
         waiting = self._waiting()
-        is_new = waiting != self._told_waiting
+        is_new = waiting != self._update_waiting
         self._told_counts, self._told_at = counts, now
-        self._told_waiting = waiting
+        self._update_waiting = waiting
         if now - self._told_whole_at >= REPEAT_INTERVAL:
             self._told_whole_at = now
             self._is_whole_known = True
@@ -302,11 +306,11 @@
 
     def _add_counts(self, counts: dict[str, int], is_whole: bool) -> None:
         listed = list(counts.items())
-        first, rest = listed[:MOST_COUNTS], listed[MOST_COUNTS:]
-        waiting = self._told_waiting
+        first, rest = listed[:MAX_COUNTS], listed[MAX_COUNTS:]
+        waiting = self._update_waiting
         self._add(InFlight(self._gateway, dict(first), is_whole, waiting))
         while rest:
-            first, rest = rest[:MOST_COUNTS], rest[MOST_COUNTS:]
+            first, rest = rest[:MAX_COUNTS], rest[MAX_COUNTS:]
             self._add(InFlight(self._gateway, dict(first), False, waiting))
 
     def _add(self, message: Message) -> None:
@@ -318,7 +322,7 @@
         if transport is None:
             self._metrics.count("peer_messages", "not_sent")
             return
-        self._uplink.sent(len(addresses) * (len(datagram) + UDP_HEAD))
+        self._egress_queue.sent(len(addresses) * (len(datagram) + UDP_HEAD))
         for address in addresses:
             try:
                 transport.write(datagram, address)
@@ -335,11 +339,11 @@
             self._log.write(LogEvent.PEER_MESSAGE_INVALID, detail=str(error))
             return
         for message in found.messages:
-            if isinstance(message, SuspectNews):
+            if isinstance(message, SuspectMessage):
                 self.on_suspects(message, "peer")
-            elif isinstance(message, ProofNews):
+            elif isinstance(message, VerificationMessage):
                 self.on_proof(message, lambda told: self._tell_at([addr], [told]))
-            elif isinstance(message, UsageNews):
+            elif isinstance(message, UsageMessage):
                 self.on_usage(found.life, message)
             else:
                 self._book.take(found.life, message, self._timers.now())
--- a/pimentolink/peerupdates.py
+++ b/pimentolink/peerupdates.py
@@ -6,19 +6,19 @@
 from pimentolink.fleet import Fleet
 from pimentolink.peermessages import (
     InFlight,
-    LoadNews,
-    OpenReadings,
-    ReadingEnded,
+    LoadMessage,
+    OpenPrefills,
+    PrefillEnded,
     RoleChanging,
 )
-from pimentolink.targetestimate import TargetBelief, reading_ticket
+from pimentolink.targetestimate import TargetEstimate, prefill_ticket
 
 # Seconds after which what a silent gateway had under way no longer counts; three
 # datagrams in a row may be lost. Its process ended, or the link to it is cut.
 COUNTS_LAST = 3.5
 
 
-class PeerBook:
+class PeerUpdates:
     """Applies what other gateways tell to this one's beliefs."""
 
     def __init__(self, fleet: Fleet) -> None:
@@ -30,9 +30,9 @@
         self._fleet = fleet
         self._counted_at: dict[str, float] = {}
         self._life_by_gateway: dict[str, str] = {}
-        self._readings_by_life: dict[str, dict[int, TargetBelief]] = {}
+        self._readings_by_life: dict[str, dict[int, TargetEstimate]] = {}
 
-    def take(self, life: str, message: LoadNews, now: float) -> None:
+    def take(self, life: str, message: LoadMessage, now: float) -> None:
         """
         Learn from another gateway.
 
@@ -45,23 +45,23 @@
             self._learn_life(message.gateway, life)
             self._take_in_flight(message)
             return
-        if isinstance(message, OpenReadings):
+        if isinstance(message, OpenPrefills):
             self._take_open(life, message)
             return
         if isinstance(message, RoleChanging):
             self._take_role(message, now)
             return
         # ``None`` also for a life that ended, or one that is not listed here yet.
-        belief = self._fleet.find(message.target)
-        if belief is None:
+        estimate = self._fleet.find(message.target)
+        if estimate is None:
             return
-        ticket = reading_ticket(life, message.number)
-        if isinstance(message, ReadingEnded):
+        ticket = prefill_ticket(life, message.number)
+        if isinstance(message, PrefillEnded):
             self._readings_by_life.get(life, {}).pop(message.number, None)
-            belief.end_reading(ticket, message.is_good, now)
+            estimate.end_prefill(ticket, message.is_good, now)
             return
-        self._readings_by_life.setdefault(life, {})[message.number] = belief
-        belief.begin_reading(
+        self._readings_by_life.setdefault(life, {})[message.number] = estimate
+        estimate.start_prefill(
             ticket,
             message.tokens,
             [PromptPart(*part) for part in message.parts],
@@ -71,9 +71,9 @@
         )
 
     def _take_role(self, message: RoleChanging, now: float) -> None:
-        belief = self._fleet.targets_by_id.get(message.target_id)
-        if belief is not None and belief.target.born == message.born:
-            belief.changing_until = now + message.seconds
+        estimate = self._fleet.targets_by_id.get(message.target_id)
+        if estimate is not None and estimate.target.born == message.born:
+            estimate.changing_until = now + message.seconds
 
     def _learn_life(self, gateway: str, life: str) -> None:
         """Drop what a gateway was reading before it started again."""
@@ -82,7 +82,7 @@
         if before != life:
             self._drop_readings(before, set())
 
-    def _take_open(self, life: str, message: OpenReadings) -> None:
+    def _take_open(self, life: str, message: OpenPrefills) -> None:
         readings = self._readings_by_life.get(life, {})
         later = {number for number in readings if number >= message.next_number}
         self._drop_readings(life, later | set(message.numbers))
@@ -91,26 +91,26 @@
         """Count readings no more of which no end was told."""
         readings = self._readings_by_life.get(life, {})
         for number in readings.keys() - open_numbers:
-            readings.pop(number).drop_reading(reading_ticket(life, number))
+            readings.pop(number).drop_prefill(prefill_ticket(life, number))
         if not readings:
             self._readings_by_life.pop(life, None)
 
     def _take_in_flight(self, message: InFlight) -> None:
         if message.is_whole:
             self._forget(message.gateway)
-        self._fleet.told_waiting(message.gateway, message.waiting_by_service)
+        self._fleet.update_waiting(message.gateway, message.waiting_by_service)
         for target_id, count in message.counts_by_target.items():
-            belief = self._fleet.targets_by_id.get(target_id)
-            if belief is None:
+            estimate = self._fleet.targets_by_id.get(target_id)
+            if estimate is None:
                 continue
             if count:
-                belief.streams_by_peer[message.gateway] = count
+                estimate.streams_by_peer[message.gateway] = count
             else:
-                belief.streams_by_peer.pop(message.gateway, None)
+                estimate.streams_by_peer.pop(message.gateway, None)
 
     def _forget(self, gateway: str) -> None:
-        for belief in self._fleet.targets_by_id.values():
-            belief.streams_by_peer.pop(gateway, None)
+        for estimate in self._fleet.targets_by_id.values():
+            estimate.streams_by_peer.pop(gateway, None)
 
     def expire(self, now: float) -> None:
         """
@@ -127,5 +127,5 @@
         for gateway in silent:
             del self._counted_at[gateway]
             self._drop_readings(self._life_by_gateway.pop(gateway, ""), set())
-            self._fleet.told_waiting(gateway, {})
+            self._fleet.update_waiting(gateway, {})
             self._forget(gateway)
--- a/pimentolink/placement.py
+++ b/pimentolink/placement.py
@@ -5,21 +5,21 @@
 from typing import NamedTuple
 
 from pimentolink.dialect import PromptPart
-from pimentolink.egressqueue import Uplink
+from pimentolink.egressqueue import EgressQueue
 from pimentolink.fleet import Fleet
-from pimentolink.gatewaydelay import OwnDelay
+from pimentolink.gatewaydelay import GatewayDelay
 from pimentolink.gatewaysettings import PlacementSettings
-from pimentolink.targetestimate import EngineRole, TargetBelief
+from pimentolink.targetestimate import EngineRole, TargetEstimate
 
 # Worth of a generation by its size against the mean of its route: a fixed part and
 # one that grows with the size, up to a bound.
 FIXED_WORTH = 0.3
 SIZED_WORTH = 0.7
-MOST_SIZE = 4.0
+MAX_SIZE = 4.0
 # An output token counts as this many prompt tokens in a request's size.
 OUTPUT_SIZE = 10
 # Tokens below which parts are read again rather than fetched.
-LEAST_COPY = 512
+MIN_COPY = 512
 # Weight of one request in a route's mean size.
 SIZE_SMOOTHING = 0.05
 
@@ -61,16 +61,16 @@
     :ivar hand_over: predicted seconds from the end of the reading until the engine that
         writes the answer has the prompt.
     :ivar copy_from: address of an engine that holds more of the prompt.
-    :ivar is_reading_only: whether another engine writes the answer.
+    :ivar is_prefill_only: whether another engine writes the answer.
     """
 
-    belief: TargetBelief
+    estimate: TargetEstimate
     tokens: int
     held_tokens: int
     done_at: float
     copy_from: str
     copied_tokens: int
-    is_reading_only: bool
+    is_prefill_only: bool
     engine_done_at: float
     way: float
     hand_over: float
@@ -91,7 +91,7 @@
     """
 
     way: float
-    source: TargetBelief
+    source: TargetEstimate
     fetchable: int
 
 
@@ -105,7 +105,7 @@
     """
 
     cost: float
-    engine: TargetBelief
+    engine: TargetEstimate
     tokens: int
     held: int
     copied: int
@@ -133,7 +133,7 @@
         mean = self._mean_by_route.get(route, size)
         mean += SIZE_SMOOTHING * (size - mean)
         self._mean_by_route[route] = mean
-        return min(MOST_SIZE, FIXED_WORTH + SIZED_WORTH * size / mean)
+        return min(MAX_SIZE, FIXED_WORTH + SIZED_WORTH * size / mean)
 
 
 class Placer:
@@ -151,8 +151,8 @@
         settings: PlacementSettings,
         fleet: Fleet,
         data_centre: str,
-        uplink: Uplink,
-        own_delay: OwnDelay,
+        egress_queue: EgressQueue,
+        own_delay: GatewayDelay,
     ) -> None:
         """
         Prepare.
@@ -160,13 +160,13 @@
         :param settings: weights.
         :param fleet: the targets.
         :param data_centre: where this gateway stands.
-        :param uplink: predicts how long a prompt takes to leave this gateway.
+        :param egress_queue: predicts how long a prompt takes to leave this gateway.
         :param own_delay: what readings take beyond that and their engine's time.
         """
         self._settings = settings
         self._fleet = fleet
         self._data_centre = data_centre
-        self._uplink = uplink
+        self._egress_queue = egress_queue
         self._own_delay = own_delay
 
     def best(self, prompt: WaitingPrompt, now: float) -> Placement | None:
@@ -177,14 +177,14 @@
         """
         engines = self._fleet.usable(prompt.service, now, prompt.parts)
         has_writer = any(
-            engine.target.role is not EngineRole.READER for engine in engines
+            engine.target.role is not EngineRole.PREFILL for engine in engines
         )
         if not has_writer:
             return None
         most = prompt.prompt_tokens - 1
         source = max(engines, key=lambda item: item.fetchable.held_tokens(prompt.parts))
         reach = _Reach(
-            way=self._uplink.delay(prompt.body_bytes),
+            way=self._egress_queue.delay(prompt.body_bytes),
             source=source,
             fetchable=min(most, source.fetchable.held_tokens(prompt.parts)),
         )
@@ -192,14 +192,14 @@
         return self._placement(min(options, key=_cost_of), reach, now)
 
     def _option(
-        self, prompt: WaitingPrompt, engine: TargetBelief, reach: _Reach, now: float
+        self, prompt: WaitingPrompt, engine: TargetEstimate, reach: _Reach, now: float
     ) -> _Option:
         """Predict what reading a prompt at one engine takes and costs."""
         settings = self._settings
         most = prompt.prompt_tokens - 1
         held = min(most, engine.parts.held_tokens(prompt.parts))
         copied = reach.fetchable - held
-        if copied < LEAST_COPY:
+        if copied < MIN_COPY:
             copied = 0
         tokens = max(1, prompt.prompt_tokens - held - copied)
         work = engine.work_time(tokens)
@@ -208,30 +208,30 @@
         ends_in = max(reach.way, engine.backlog(now)) + work
         cost = ends_in + settings.duplicate_cost * work + engine.failure_share
         role = engine.target.role
-        if role is EngineRole.READER:
+        if role is EngineRole.PREFILL:
             cost += reach.way
-        elif role is EngineRole.WRITER:
+        elif role is EngineRole.DECODE:
             cost += settings.interference * engine.load() * work
         if engine.target.data_centre != self._data_centre:
             cost += settings.remote_cost
         return _Option(cost, engine, tokens, held, copied, ends_in)
 
     def _placement(self, option: _Option, reach: _Reach, now: float) -> Placement:
-        is_reader = option.engine.target.role is EngineRole.READER
+        is_prefill_engine = option.engine.target.role is EngineRole.PREFILL
         return Placement(
-            belief=option.engine,
+            estimate=option.engine,
             tokens=option.tokens,
             held_tokens=option.held,
             done_at=now + option.ends_in + self._own_delay.seconds(now),
             engine_done_at=now + option.ends_in,
             copy_from=reach.source.target.address if option.copied else "",
             copied_tokens=option.copied,
-            is_reading_only=is_reader,
+            is_prefill_only=is_prefill_engine,
             way=reach.way,
-            hand_over=reach.way if is_reader else 0.0,
+            hand_over=reach.way if is_prefill_engine else 0.0,
         )
 
-    def engines(self, service: str, now: float) -> list[TargetBelief]:
+    def engines(self, service: str, now: float) -> list[TargetEstimate]:
         """List the engines of a service that take work."""
         return self._fleet.usable(service, now)
 
@@ -248,7 +248,7 @@
         work = work_here + share * self._fleet.waiting_elsewhere(service)
         return work / max(1.0, self._fleet.usable_count(service, now))
 
-    def writer(self, service: str, near: str, now: float) -> TargetBelief | None:
+    def writer(self, service: str, near: str, now: float) -> TargetEstimate | None:
         """
         Choose the engine that writes an answer whose prompt was read elsewhere.
 
@@ -258,7 +258,7 @@
         writers = [
             engine
             for engine in self._fleet.usable(service, now)
-            if engine.target.role is not EngineRole.READER
+            if engine.target.role is not EngineRole.PREFILL
         ]
         return min(
             writers,
@@ -266,7 +266,7 @@
             default=None,
         )
 
-    def _writer_cost(self, engine: TargetBelief, near: str, now: float) -> float:
+    def _writer_cost(self, engine: TargetEstimate, near: str, now: float) -> float:
         cost = engine.load() / max(1, engine.target.slots)
         cost += engine.backlog(now) + engine.failure_share
         if engine.target.data_centre != near:
--- a/pimentolink/plaincalls.py
+++ b/pimentolink/plaincalls.py
@@ -21,7 +21,7 @@
 from pimentolink.httptypes import HttpReply
 from pimentolink.retrylimiter import RetryLimiter
 from pimentolink.routes import Repeatability
-from pimentolink.targetestimate import TargetBelief
+from pimentolink.targetestimate import TargetEstimate
 from pimentolink.timers import Timers
 
 # Weight of a target's share of failures against its load, in full queues.
@@ -71,8 +71,8 @@
         self._retry_limiter.earn(work)
         last: Failure | HttpReply | None = None
         while True:
-            belief = self._choose(work)
-            if belief is None:
+            estimate = self._choose(work)
+            if estimate is None:
                 break
             is_repeat = work.attempts.count > 0
             try:
@@ -80,7 +80,7 @@
             except RetryBudgetSpent as failure:
                 last = last or failure
                 break
-            last = await self._attempt(work, belief, attempt)
+            last = await self._attempt(work, estimate, attempt)
             if isinstance(last, Quarantined):
                 break
             if isinstance(last, HttpReply) and not self._is_repeatable(work, last):
@@ -90,22 +90,22 @@
             return
         raise last or NoTarget(f"no target of {work.service} takes work", 0.5)
 
-    def _choose(self, work: Work) -> TargetBelief | None:
+    def _choose(self, work: Work) -> TargetEstimate | None:
         now = self._timers.now()
         if work.time_left(now) <= 0:
             return None
         usable = [
-            belief
-            for belief in self._fleet.usable(work.service, now)
-            if work.attempts.may_send(belief.target.target_id)
-            and belief.target.target_id not in work.attempts.tried_target_ids
+            estimate
+            for estimate in self._fleet.usable(work.service, now)
+            if work.attempts.may_send(estimate.target.target_id)
+            and estimate.target.target_id not in work.attempts.tried_target_ids
         ]
         return min(usable, key=self._cost, default=None)
 
-    def _cost(self, belief: TargetBelief) -> float:
-        cost = belief.load() / max(1, belief.target.slots)
-        cost += FAILURE_WEIGHT * belief.failure_share
-        if belief.target.data_centre != self._data_centre:
+    def _cost(self, estimate: TargetEstimate) -> float:
+        cost = estimate.load() / max(1, estimate.target.slots)
+        cost += FAILURE_WEIGHT * estimate.failure_share
+        if estimate.target.data_centre != self._data_centre:
             cost += self._settings.remote_cost
         return cost
 
@@ -113,18 +113,21 @@
         return reply.head.status >= 500 and work.attempts.may_repeat()
 
     async def _attempt(
-        self, work: Work, belief: TargetBelief, attempt: AbstractContextManager[None]
+        self,
+        work: Work,
+        estimate: TargetEstimate,
+        attempt: AbstractContextManager[None],
     ) -> HttpReply | Failure:
         """Make one attempt and tell how it ended."""
         is_once = work.route.repeatability is Repeatability.ONCE
-        work.attempts.sent(belief.target.target_id)
+        work.attempts.sent(estimate.target.target_id)
         began_at = self._timers.now()
         try:
             with attempt:
                 if is_once:
-                    reply = await self._shielded(work, belief)
+                    reply = await self._shielded(work, estimate)
                 else:
-                    reply = await self._exchange(work, belief)
+                    reply = await self._exchange(work, estimate)
         except Failure as failure:
             work.attempts.failed(failure)
             if failure.ran:
@@ -138,29 +141,29 @@
         work.run_began(began_at)
         return reply
 
-    async def _exchange(self, work: Work, belief: TargetBelief) -> HttpReply:
+    async def _exchange(self, work: Work, estimate: TargetEstimate) -> HttpReply:
         request = work.request
         time_left = work.time_left(self._timers.now())
-        sending = Sending(belief.target.target_id, time_left)
+        sending = Sending(estimate.target.target_id, time_left)
         is_once = work.route.repeatability is Repeatability.ONCE
-        call = await self._caller.begin(request, belief, sending, is_once)
+        call = await self._caller.begin(request, estimate, sending, is_once)
         try:
             reply = await call.read_all()
         except Failure as failure:
             call.close()
-            self._caller.blame(request, belief, failure, call.sent_at)
+            self._caller.blame(request, estimate, failure, call.sent_at)
             raise
         finally:
             call.close()
         if self._dialect.verdict(reply.head) is Verdict.SUCCESS:
             if not self._dialect.is_signed(reply.head):
                 raise ReplyInvalid("a success that the target does not vouch for")
-            self._caller.succeeded(request, belief)
+            self._caller.succeeded(request, estimate)
         elif reply.head.status >= 500:
             self._caller.failed(request, call, reply.head.status)
         return reply
 
-    async def _shielded(self, work: Work, belief: TargetBelief) -> HttpReply:
+    async def _shielded(self, work: Work, estimate: TargetEstimate) -> HttpReply:
         """
         Exchange without cutting the target off when the caller leaves.
 
@@ -168,6 +171,6 @@
         doubt.
         """
         waiter: Deferred[HttpReply] = Deferred()
-        running = Deferred.fromCoroutine(self._exchange(work, belief))
+        running = Deferred.fromCoroutine(self._exchange(work, estimate))
         running.addCallbacks(waiter.callback, waiter.errback)
         return await waiter
--- a/pimentolink/platform/api.py
+++ b/pimentolink/platform/api.py
@@ -15,7 +15,7 @@
 
 LEADER = b"Pimentolink-Lease-Holder"
 FENCE = b"Pimentolink-Fencing-Token"
-MOST_ANSWER_BYTES = 65_536
+MAX_ANSWER_BYTES = 65_536
 
 
 class _Usage(msgspec.Struct, rename="camel"):
@@ -71,7 +71,7 @@
             self._reactor, self._address, self._connections, self._timers
         )
         try:
-            reply = await exchange(pool, request, lambda head: True, MOST_ANSWER_BYTES)
+            reply = await exchange(pool, request, lambda head: True, MAX_ANSWER_BYTES)
         finally:
             pool.close()
         if reply.head.status != 200:
--- a/pimentolink/platform/dialect.py
+++ b/pimentolink/platform/dialect.py
@@ -10,8 +10,8 @@
 
 from pimentolink.dialect import (
     CallerRequest,
+    PrefilledPrompt,
     PromptPart,
-    ReadPrompt,
     Sending,
     Verdict,
 )
@@ -25,7 +25,7 @@
     header_value,
 )
 from pimentolink.jsondocument import read_json
-from pimentolink.targetestimate import EngineReport, EngineRole, TargetBelief
+from pimentolink.targetestimate import EngineReport, EngineRole, TargetEstimate
 
 REQUEST_ID = b"Pimentolink-Request-Id"
 DEADLINE = b"Pimentolink-Deadline-Ms"
@@ -67,9 +67,9 @@
 ANSWER_WAY = 0.01
 # Tokens of a prompt or an answer beyond which a request is taken for malformed; the
 # largest engine holds under a million.
-MOST_TOKENS = 1_000_000_000
+MAX_TOKENS = 1_000_000_000
 # Longest time that a caller may say it waits, in seconds.
-MOST_PATIENCE = 1_000_000.0
+MAX_PATIENCE = 1_000_000.0
 # Bits by which parts are told apart; gateways tell each other numbers of this size.
 PART_BITS = 64
 
@@ -77,7 +77,7 @@
 _DECIMAL = re.compile(r"[0-9]{1,10}(\.[0-9]{1,9})?")
 _HEXADECIMAL = re.compile(r"[0-9A-Fa-f]{1,200}")
 
-_Tokens = Annotated[int, msgspec.Meta(ge=0, le=MOST_TOKENS)]
+_Tokens = Annotated[int, msgspec.Meta(ge=0, le=MAX_TOKENS)]
 # What fits into a header and a path as one word.
 _Handle = Annotated[str, msgspec.Meta(pattern=r"^[!$&-.0-9:;=@-Z_a-z~]{1,200}\Z")]
 
@@ -135,13 +135,13 @@
     if _DECIMAL.fullmatch(text) is None:
         raise ValueError(f"{text[:40]!r} is no time in milliseconds")
     patience = float(text) / 1000
-    if patience >= MOST_PATIENCE:
-        raise ValueError(f"{text[:40]!r} is over {MOST_PATIENCE:g} s")
+    if patience >= MAX_PATIENCE:
+        raise ValueError(f"{text[:40]!r} is over {MAX_PATIENCE:g} s")
     return patience
 
 
 def _read_tokens(text: str) -> int:
-    if _WHOLE.fullmatch(text) is None or int(text) > MOST_TOKENS:
+    if _WHOLE.fullmatch(text) is None or int(text) > MAX_TOKENS:
         raise ValueError(f"{text[:40]!r} is no number of tokens")
     return int(text)
 
@@ -170,7 +170,7 @@
     return _read_tokens(prompt.strip()), _read_tokens(output.strip() or "0")
 
 
-_PHASES_BY_ROLE = {EngineRole.READER: "prefill", EngineRole.WRITER: "decode"}
+_PHASES_BY_ROLE = {EngineRole.PREFILL: "prefill", EngineRole.DECODE: "decode"}
 _ROLES_BY_PHASE = {phase: role for role, phase in _PHASES_BY_ROLE.items()}
 
 
@@ -238,7 +238,7 @@
             own.append((DEADLINE, str(milliseconds).encode()))
         if sending.priority is not None:
             own.append((PRIORITY, str(sending.priority).encode()))
-        if sending.is_reading:
+        if sending.is_prefill:
             own.append((STAGE, b"prefill"))
         if sending.cache_source:
             own.append((KV_SOURCE, sending.cache_source.encode()))
@@ -271,26 +271,26 @@
         is_encoded = head.header(b"content-encoding") is not None
         return head.header(SIGNATURE.lower()) is not None and not is_encoded
 
-    def read_prompt(self, reply: HttpReply) -> Result[ReadPrompt, ReplyInvalid]:
+    def read_prompt(self, reply: HttpReply) -> Result[PrefilledPrompt, ReplyInvalid]:
         """Read the answer to a reading."""
         found = read_json(reply.body, _ReadAnswer)
         if isinstance(found, Err):
             return Err(ReplyInvalid(f"a reading's answer: {found.err_value.detail}"))
         answer = found.ok_value
-        return Ok(ReadPrompt(answer.kv_handle, answer.tokens))
+        return Ok(PrefilledPrompt(answer.kv_handle, answer.tokens))
 
-    def cache_source(self, address: str, prompt: ReadPrompt) -> str:
+    def cache_source(self, address: str, prompt: PrefilledPrompt) -> str:
         """Name a KV cache for the engine that is to fetch it."""
         return f"{address}/{prompt.handle}"
 
-    def drop_cache(self, address: str, prompt: ReadPrompt) -> HttpRequest:
+    def drop_cache(self, address: str, prompt: PrefilledPrompt) -> HttpRequest:
         """Write the request that frees a KV cache which nobody will fetch."""
         path = f"/kv-handle/{prompt.handle}".encode()
         return HttpRequest(b"DELETE", path, ((b"Host", address.encode()),))
 
-    def ask_parts(self, belief: TargetBelief) -> HttpRequest:
+    def ask_parts(self, estimate: TargetEstimate) -> HttpRequest:
         """Write the question what an engine's memory holds."""
-        return HttpRequest(b"GET", b"/kv-list", _own_headers(belief))
+        return HttpRequest(b"GET", b"/kv-list", _own_headers(estimate))
 
     def read_parts(
         self, reply: HttpReply
@@ -308,9 +308,9 @@
             return Err(ReplyInvalid(f"a list of parts: {error}"))
         return Ok(parts)
 
-    def ask_report(self, belief: TargetBelief) -> HttpRequest:
+    def ask_report(self, estimate: TargetEstimate) -> HttpRequest:
         """Write the request for an engine's report."""
-        return HttpRequest(b"GET", b"/report", _own_headers(belief))
+        return HttpRequest(b"GET", b"/report", _own_headers(estimate))
 
     def read_report(self, reply: HttpReply) -> Result[EngineReport, ReplyInvalid]:
         """Read an engine's report."""
@@ -323,7 +323,7 @@
 
     def change_role(
         self,
-        belief: TargetBelief,
+        estimate: TargetEstimate,
         report: EngineReport,
         role: EngineRole,
         holder: str,
@@ -333,7 +333,7 @@
         order = _Order(
             "phase", _PHASES_BY_ROLE[role], holder, fence, report.orders_accepted
         )
-        headers = (*_own_headers(belief), (b"Content-Type", b"application/json"))
+        headers = (*_own_headers(estimate), (b"Content-Type", b"application/json"))
         return HttpRequest(b"POST", b"/order", headers, msgspec.json.encode(order))
 
     def order_outcome(self, reply: HttpReply) -> Result[None, OrderRefused]:
@@ -343,8 +343,8 @@
         return Err(OrderRefused(f"status {reply.head.status}"))
 
 
-def _own_headers(belief: TargetBelief) -> Headers:
-    target = belief.target
+def _own_headers(estimate: TargetEstimate) -> Headers:
+    target = estimate.target
     return (
         (b"Host", target.address.encode()),
         (EXPECT_INSTANCE, target.target_id.encode()),
--- a/pimentolink/platform/documents.py
+++ b/pimentolink/platform/documents.py
@@ -30,7 +30,7 @@
 _IDEMPOTENT = "idempotent"
 _STREAMING = "streaming"
 _LEAVING = "draining"
-_ROLES = {"prefill": EngineRole.READER, "decode": EngineRole.WRITER}
+_ROLES = {"prefill": EngineRole.PREFILL, "decode": EngineRole.DECODE}
 
 
 _Share = Annotated[float, msgspec.Meta(ge=0)]
@@ -157,7 +157,7 @@
         is_generation=found.sticky,
         timeout=found.timeout_ms / 1000,
         latency_target=found.target_latency_ms / 1000,
-        most_targets=max(1, found.max_attempts),
+        max_targets=max(1, found.max_attempts),
         priority=found.priority,
         needs_key=not found.skip_auth,
     )
--- a/pimentolink/platform/store.py
+++ b/pimentolink/platform/store.py
@@ -35,9 +35,9 @@
 # Counts how often the store was restored from a copy.
 EPOCH = b"store-era"
 # Largest answer taken; the store sends pages of about 1 MB, a third more as base64.
-MOST_ANSWER_BYTES = 4_000_000
+MAX_ANSWER_BYTES = 4_000_000
 # Beyond it a revision with its epoch would not be exact as a number of JSON.
-MOST_EPOCH = 2**13
+MAX_EPOCH = 2**13
 
 Decoded = TypeVar("Decoded")
 
@@ -284,7 +284,7 @@
         if body:
             headers += ((b"Content-Type", b"application/json"),)
         request = HttpRequest(method.encode(), path.encode(), headers, body)
-        pending = exchange(self._pool, request, lambda head: True, MOST_ANSWER_BYTES)
+        pending = exchange(self._pool, request, lambda head: True, MAX_ANSWER_BYTES)
         try:
             reply = await with_timeout(self._timers, patience, pending)
         except TimeoutError as error:
@@ -303,7 +303,7 @@
         :raises KeyValueUnavailable: if the answer is from before the restore.
         """
         value = reply.head.header(EPOCH)
-        if value is None or not value.isdigit() or int(value) >= MOST_EPOCH:
+        if value is None or not value.isdigit() or int(value) >= MAX_EPOCH:
             return
         epoch, before = int(value), self.epoch
         if epoch < before:
--- a/pimentolink/porcelain.py
+++ b/pimentolink/porcelain.py
@@ -38,7 +38,7 @@
 from pimentolink.kvstore import KeyValueStore
 from pimentolink.loganalysis import Analysis, analyze
 from pimentolink.membership import Documents
-from pimentolink.peermessages import MOST_CRASHES, SuspectCleared
+from pimentolink.peermessages import MAX_CRASHES, SuspectCleared
 from pimentolink.plan import decode_plan, groups_of
 from pimentolink.routes import RoutingTable
 from pimentolink.settings import merge_documents
@@ -213,7 +213,7 @@
     key = clearing_key(fingerprint)
     before = await keyspace.read(key)
     expected = before.revision if before is not None else 0
-    document = SuspectDocument([SuspectCleared(fingerprint, crashes[:MOST_CRASHES])])
+    document = SuspectDocument([SuspectCleared(fingerprint, crashes[:MAX_CRASHES])])
     lease = await keyspace.grant(KEEP)
     write = Write(key, msgspec.json.encode(document), expected, lease)
     if await keyspace.write(write) is None:
--- a/pimentolink/prefillcost.py
+++ b/pimentolink/prefillcost.py
@@ -6,9 +6,9 @@
 # fraction of a second under load, and the two figures of a line need a few dozen.
 MEMORY = 0.98
 # Readings without which nothing is known: fewer cannot tell fixed time from rate.
-LEAST_SAMPLES = 4
+MIN_SAMPLES = 4
 # What they count for by the time the last of them has ended, at least.
-LEAST_COUNT = LEAST_SAMPLES * MEMORY**LEAST_SAMPLES
+MIN_COUNT = MIN_SAMPLES * MEMORY**MIN_SAMPLES
 # Weight of a reading that took longer than predicted, against one that did not. What a
 # gateway's own link and processor add makes readings look longer, never shorter; with
 # equal weights, engines looked 4 times as slow as they were while gateways' links were
@@ -16,19 +16,19 @@
 LONGER_WEIGHT = 0.25
 # Spread of prompt lengths, against their mean, below which fixed time and rate cannot
 # be told apart.
-LEAST_SPREAD = 0.1
+MIN_SPREAD = 0.1
 # Weight of one reading in what is learned of a single engine and of copies; the last
 # ten or so decide, so that an engine that turned slow is known within a second.
 SMOOTHING = 0.12
 # How much slower or faster than the others one engine is believed to be at most.
-MOST_SLOWNESS = 10.0
-LEAST_SLOWNESS = 0.25
+MAX_SLOWNESS = 10.0
+MIN_SLOWNESS = 0.25
 # A single reading is believed to take this many times what was predicted at most, so
 # that one that hung does not stand for all.
-MOST_SURPRISE = 4.0
+MAX_SURPRISE = 4.0
 
 
-class ReadingCost:
+class PrefillCost:
     """
     Time of a reading as a fixed part and a part for each token.
 
@@ -60,10 +60,10 @@
         weight = 1.0
         if self.is_known:
             predicted = self.seconds(tokens)
-            seconds = min(seconds, MOST_SURPRISE * predicted)
+            seconds = min(seconds, MAX_SURPRISE * predicted)
             weight = LONGER_WEIGHT if seconds > predicted else 1.0
         self._samples = MEMORY * self._samples + 1
-        self.is_known = self._samples >= LEAST_COUNT
+        self.is_known = self._samples >= MIN_COUNT
         self._count = MEMORY * self._count + weight
         self._tokens = MEMORY * self._tokens + weight * tokens
         self._seconds = MEMORY * self._seconds + weight * seconds
@@ -78,7 +78,7 @@
         variance = self._tokens_squared / self._count - mean_tokens**2
         per_token = mean_seconds / max(1.0, mean_tokens)
         fixed = 0.0
-        if variance > (LEAST_SPREAD * mean_tokens) ** 2:
+        if variance > (MIN_SPREAD * mean_tokens) ** 2:
             covariance = self._products / self._count - mean_tokens * mean_seconds
             slope = max(0.0, covariance / variance)
             fixed = mean_seconds - slope * mean_tokens
@@ -106,8 +106,8 @@
         """
         self._first_rate = first_rate
         self._writer_share = writer_share
-        self._readers = ReadingCost()
-        self._writers = ReadingCost()
+        self._readers = PrefillCost()
+        self._writers = PrefillCost()
         # How much longer than predicted readings of each role take at all engines; what
         # they have in common is no slowness of one.
         self._usual_reader = Slowness(1 - MEMORY, LONGER_WEIGHT)
@@ -115,27 +115,27 @@
         # Seconds that fetching parts takes besides their tokens.
         self.copy_overhead = 0.0
 
-    def of_role(self, is_writer: bool) -> ReadingCost:
+    def of_role(self, is_decode_engine: bool) -> PrefillCost:
         """Tell what is learned of one role."""
-        return self._writers if is_writer else self._readers
+        return self._writers if is_decode_engine else self._readers
 
-    def is_known(self, is_writer: bool) -> bool:
+    def is_known(self, is_decode_engine: bool) -> bool:
         """Tell whether predictions for a role rest on readings that were timed."""
-        return self._readers.is_known or self.of_role(is_writer).is_known
+        return self._readers.is_known or self.of_role(is_decode_engine).is_known
 
-    def seconds(self, tokens: int, is_writer: bool) -> float:
+    def seconds(self, tokens: int, is_decode_engine: bool) -> float:
         """Predict how long a reading takes at a usual engine of a role."""
-        cost = self.of_role(is_writer)
+        cost = self.of_role(is_decode_engine)
         if cost.is_known:
             return cost.seconds(tokens)
-        share = self._writer_share if is_writer else 1.0
+        share = self._writer_share if is_decode_engine else 1.0
         if self._readers.is_known:
             return self._readers.seconds(tokens) / share
         return tokens / (self._first_rate * share)
 
-    def usual(self, is_writer: bool) -> Slowness:
+    def usual(self, is_decode_engine: bool) -> Slowness:
         """Tell how long readings of a role take against predictions, over engines."""
-        return self._usual_writer if is_writer else self._usual_reader
+        return self._usual_writer if is_decode_engine else self._usual_reader
 
     def learn_copy(self, seconds: float) -> None:
         """Learn what a fetch took besides its tokens."""
@@ -174,7 +174,7 @@
         """
         if predicted <= 0:
             return
-        took = min(took, MOST_SLOWNESS * predicted)
+        took = min(took, MAX_SLOWNESS * predicted)
         beyond = max(0.0, took - self.factor * predicted)
         took -= (1 - self._longer_weight) * beyond
         if not self._predicted:
@@ -182,4 +182,4 @@
             self._predicted = self._took = predicted / self._smoothing
         self._predicted += predicted - self._smoothing * self._predicted
         self._took += took - self._smoothing * self._took
-        self.factor = max(LEAST_SLOWNESS, self._took / self._predicted)
+        self.factor = max(MIN_SLOWNESS, self._took / self._predicted)
--- a/pimentolink/prefillqueue.py
+++ b/pimentolink/prefillqueue.py
@@ -16,9 +16,9 @@
 LARGE_FACTOR = 1.2
 # Waiting prompts whose place is predicted anew to choose the next one; those beyond
 # are worth less.
-MOST_LOOKED_AT = 16
+MAX_CANDIDATES = 16
 # Waiting prompts whose place is predicted anew to find hopeless ones, in one look.
-MOST_CHECKED = 8
+MAX_CHECKED = 8
 # Share of the prompts that wait elsewhere that is taken to go before a new one while
 # nothing waits here that could tell.
 USUAL_SHARE = 0.5
@@ -26,8 +26,8 @@
 # on roles, so that a single refusal is no shortage.
 UNMET_HORIZON = 2.0
 # Shortest and longest pause, in seconds, after which a caller is asked to return.
-LEAST_PAUSE = 0.1
-MOST_PAUSE = 2.0
+MIN_PAUSE = 0.1
+MAX_PAUSE = 2.0
 
 
 class _Waiting:
@@ -49,14 +49,14 @@
         """Take a newer prediction."""
         self.placement = placement
         self.rests_on = rests_on
-        self.work = placement.belief.work_time(placement.tokens)
+        self.work = placement.estimate.work_time(placement.tokens)
         worth = self.prompt.size
         if placement.written_from > self.prompt.on_time_until:
             worth *= LATE_WORTH
         self.rank = (-worth / self.work, self.prompt.arrived_at)
 
 
-class ReadingQueue:
+class PrefillQueue:
     """
     Prompts that wait at this gateway.
 
@@ -148,15 +148,15 @@
         A prompt whose own reading takes longer than the latency target is given that
         time too, so that large ones are not turned away for their size alone.
         """
-        if not placement.belief.is_timed:
+        if not placement.estimate.is_timed:
             return None
-        own_work = placement.belief.work_time(placement.tokens)
+        own_work = placement.estimate.work_time(placement.tokens)
         allowed = self._settings.late_factor * prompt.latency_target
         allowed = max(allowed, LARGE_FACTOR * own_work)
         latest = min(prompt.arrived_at + allowed, prompt.due_at)
         if begins_at <= latest:
             return None
-        pause = min(MOST_PAUSE, max(LEAST_PAUSE, begins_at - prompt.on_time_until))
+        pause = min(MAX_PAUSE, max(MIN_PAUSE, begins_at - prompt.on_time_until))
         return CannotBeInTime(
             f"would be read in {begins_at - now:.2f} s, {latest - now:.2f} s are left",
             pause,
@@ -171,11 +171,11 @@
         if not self._waiting_by_id or not self._has_room(now):
             return None
         first = nsmallest(
-            MOST_LOOKED_AT, self._waiting_by_id.values(), key=lambda item: item.rank
+            MAX_CANDIDATES, self._waiting_by_id.values(), key=lambda item: item.rank
         )
         found = [waiting for waiting in first if self._predict(waiting, now)]
         for waiting in sorted(found, key=lambda item: item.rank):
-            if waiting.placement.belief.backlog(now) <= self._settings.depth:
+            if waiting.placement.estimate.backlog(now) <= self._settings.depth:
                 del self._waiting_by_id[waiting.prompt.request_id]
                 self._taken += 1
                 return waiting.prompt, waiting.placement
@@ -219,7 +219,7 @@
             for request_id, waiting in self._waiting_by_id.items()
             if now + waiting.work > waiting.prompt.due_at
         }
-        for request_id in list(self._waiting_by_id)[:MOST_CHECKED]:
+        for request_id in list(self._waiting_by_id)[:MAX_CHECKED]:
             self._waiting_by_id.move_to_end(request_id)
             waiting = self._waiting_by_id[request_id]
             placement = self._placer.best(waiting.prompt, now)
--- a/pimentolink/prefillscheduler.py
+++ b/pimentolink/prefillscheduler.py
@@ -8,18 +8,18 @@
 
 from pimentolink.dialect import PromptPart
 from pimentolink.errors import USUAL_PAUSE, CannotBeInTime, Failure
-from pimentolink.gatewaydelay import OwnDelay
+from pimentolink.gatewaydelay import GatewayDelay
 from pimentolink.logs import Log, LogEvent
 from pimentolink.peermessages import (
-    MOST_WAY_MS,
-    OpenReadings,
-    PeerNews,
-    ReadingBegan,
-    ReadingEnded,
+    MAX_TRANSMISSION_DELAY_MS,
+    OpenPrefills,
+    PeerPublisher,
+    PrefillEnded,
+    PrefillStarted,
 )
 from pimentolink.placement import Placement, WaitingPrompt
-from pimentolink.prefillqueue import ReadingQueue
-from pimentolink.targetestimate import reading_ticket
+from pimentolink.prefillqueue import PrefillQueue
+from pimentolink.targetestimate import prefill_ticket
 from pimentolink.timers import Timer, Timers
 
 # Seconds between two looks at the queue when nothing happens; predictions shift with
@@ -46,21 +46,21 @@
         self.placement = placement
         self.began_at = began_at
         self.expected = placement.done_at - began_at
-        self.was_timed = placement.belief.is_timed
+        self.was_timed = placement.estimate.is_timed
         self.is_over = False
 
 
-class Readings:
+class PrefillScheduler:
     """The queue of this gateway with the loop that empties it."""
 
     def __init__(
         self,
-        queue: ReadingQueue,
-        news: PeerNews,
+        queue: PrefillQueue,
+        news: PeerPublisher,
         timers: Timers,
         log: Log,
         gateway: str,
-        own_delay: OwnDelay,
+        own_delay: GatewayDelay,
     ) -> None:
         """
         Start empty.
@@ -137,30 +137,30 @@
         number = self._next_number
         self._next_number += 1
         self._open_numbers.add(number)
-        belief = placement.belief
-        belief.begin_reading(
-            reading_ticket(self._gateway, number),
+        estimate = placement.estimate
+        estimate.start_prefill(
+            prefill_ticket(self._gateway, number),
             placement.tokens,
             prompt.parts,
             now,
             placement.copied_tokens,
             placement.way,
         )
-        self._news.tell(
-            ReadingBegan(
+        self._news.broadcast(
+            PrefillStarted(
                 number,
-                belief.target.key,
+                estimate.target.key,
                 placement.tokens,
                 parts_of(prompt.parts),
                 placement.copied_tokens,
-                min(MOST_WAY_MS, round(1000 * placement.way)),
+                min(MAX_TRANSMISSION_DELAY_MS, round(1000 * placement.way)),
             )
         )
         self._log.write(
             LogEvent.PROMPT_PLACED,
             request=prompt.request_id,
-            target=belief.target.target_id,
-            role=belief.target.role.value,
+            target=estimate.target.target_id,
+            role=estimate.target.role.value,
             tokens=placement.tokens,
             held=placement.held_tokens,
             copied=placement.copied_tokens,
@@ -172,9 +172,9 @@
         )
         return Ticket(number, prompt.request_id, placement, now)
 
-    def open_readings(self) -> OpenReadings:
+    def open_prefills(self) -> OpenPrefills:
         """Tell which readings of this gateway have not ended."""
-        return OpenReadings(self._next_number, sorted(self._open_numbers))
+        return OpenPrefills(self._next_number, sorted(self._open_numbers))
 
     def end(self, ticket: Ticket, is_good: bool) -> None:
         """
@@ -185,29 +185,29 @@
         if ticket.is_over:
             return
         ticket.is_over = True
-        belief = ticket.placement.belief
+        estimate = ticket.placement.estimate
         now = self._timers.now()
         self._open_numbers.discard(ticket.number)
-        name = reading_ticket(self._gateway, ticket.number)
-        busy = belief.end_reading(name, is_good, now)
+        name = prefill_ticket(self._gateway, ticket.number)
+        busy = estimate.end_prefill(name, is_good, now)
         if is_good and ticket.was_timed:
             # What was predicted before any reading was timed says nothing of this
             # gateway: of 290 calm requests 3 were turned away for it.
             self._own_delay.learn(now - ticket.placement.engine_done_at, now)
-        target_id = belief.target.target_id
-        self._news.tell(ReadingEnded(ticket.number, belief.target.key, is_good))
+        target_id = estimate.target.target_id
+        self._news.broadcast(PrefillEnded(ticket.number, estimate.target.key, is_good))
         self._log.write(
             LogEvent.READING_ENDED,
             request=ticket.request_id,
             target=target_id,
-            role=belief.target.role.value,
+            role=estimate.target.role.value,
             good=is_good,
             tokens=ticket.placement.tokens,
             copied=ticket.placement.copied_tokens,
             took=round(now - ticket.began_at, 4),
             predicted=round(ticket.expected, 4),
             busy=None if busy is None else round(busy, 4),
-            left=round(belief.backlog(now), 4),
+            left=round(estimate.backlog(now), 4),
         )
         self.look()
 
--- a/pimentolink/prefixcache.py
+++ b/pimentolink/prefixcache.py
@@ -8,7 +8,7 @@
 from pimentolink.dialect import PromptPart
 
 
-class PartIndex:
+class PrefixCacheIndex:
     """Tells which engines probably hold a part."""
 
     def __init__(self) -> None:
@@ -44,24 +44,24 @@
         return list(found)
 
 
-class PartMemory:
+class PrefixCacheEstimate:
     """
     Follows the parts of prompts that an engine read, least recently used out first.
 
     It is a guess from what was sent there: the engine's own order of use may differ.
     """
 
-    def __init__(self, owner: str, index: PartIndex | None = None) -> None:
+    def __init__(self, owner: str, index: PrefixCacheIndex | None = None) -> None:
         """
         Start empty, with room for nothing.
 
         :param owner: the engine.
         :param index: learns what it holds.
-        :ivar most_tokens: that the engine's memory holds.
+        :ivar capacity_tokens: that the engine's memory holds.
         """
         self._owner = owner
         self._index = index
-        self.most_tokens = 0
+        self.capacity_tokens = 0
         self._tokens_by_part: OrderedDict[int, int] = OrderedDict()
         self._tokens = 0
 
@@ -72,7 +72,7 @@
             self._tokens_by_part[part.part_id] = part.tokens
             if self._index is not None:
                 self._index.add(part.part_id, self._owner)
-        while self._tokens > self.most_tokens and self._tokens_by_part:
+        while self._tokens > self.capacity_tokens and self._tokens_by_part:
             part_id, tokens = self._tokens_by_part.popitem(last=False)
             self._tokens -= tokens
             if self._index is not None:
--- a/pimentolink/rolebalance.py
+++ b/pimentolink/rolebalance.py
@@ -8,11 +8,11 @@
 
 from pimentolink.fleet import Fleet
 from pimentolink.gatewaysettings import RoleSettings
-from pimentolink.targetestimate import EngineRole, TargetBelief
+from pimentolink.targetestimate import EngineRole, TargetEstimate
 
 # Share of a change's price that is paid even for an engine that has been idle: its
 # answers in flight, and the order itself.
-LEAST_PRICE = 0.2
+MIN_PRICE = 0.2
 
 
 class RoleChange(NamedTuple):
@@ -25,7 +25,7 @@
     :ivar readers: wanted of the service's engines.
     """
 
-    belief: TargetBelief
+    estimate: TargetEstimate
     role: EngineRole
     streams: float
     unmet: float
@@ -80,16 +80,16 @@
         self._fleet = fleet
         self._services_by_name: dict[str, _Service] = {}
         # Engine seconds a second of prompts that all gateways turn away.
-        self.unmet_reading: Callable[[str], float] = lambda service: 0.0
+        self.unmet_prefill: Callable[[str], float] = lambda service: 0.0
 
     def observe(self, service: str, now: float) -> None:
         """Learn what writers and readers are short of; at a steady pace."""
         seen = self._services_by_name.setdefault(service, _Service())
-        writers = self._of_role(service, EngineRole.WRITER)
-        readers = self._of_role(service, EngineRole.READER)
+        writers = self._of_role(service, EngineRole.DECODE)
+        readers = self._of_role(service, EngineRole.PREFILL)
         seen.streams = float(sum(writer.streams() for writer in writers))
-        seen.unmet = self.unmet_reading(service)
-        if seen.streams or any(engine.readings_by_ticket for engine in readers):
+        seen.unmet = self.unmet_prefill(service)
+        if seen.streams or any(engine.prefills_by_ticket for engine in readers):
             seen.has_worked = True
         passed = now - (now if seen.observed_at is None else seen.observed_at)
         seen.observed_at = now
@@ -101,7 +101,7 @@
         seen.regret += passed * (short - seen.unmet)
 
     def _observe_readers(
-        self, seen: _Service, readers: list[TargetBelief], passed: float, now: float
+        self, seen: _Service, readers: list[TargetEstimate], passed: float, now: float
     ) -> None:
         busy = sum(engine.backlog(now) > 0 for engine in readers)
         seen.has_read = seen.has_read or busy > 0
@@ -136,7 +136,7 @@
         regret = seen.regret
         while change is not None:
             changes.append(change)
-            seen.changing_by_id[change.belief.target.target_id] = change.role
+            seen.changing_by_id[change.estimate.target.target_id] = change.role
             regret -= self._paid(service, seen, regret)
             change = self._next_change(service, seen, regret, now)
         return changes
@@ -144,8 +144,8 @@
     def _next_change(
         self, service: str, seen: _Service, regret: float, now: float
     ) -> RoleChange | None:
-        readers = self._of_role(service, EngineRole.READER)
-        writers = self._of_role(service, EngineRole.WRITER)
+        readers = self._of_role(service, EngineRole.PREFILL)
+        writers = self._of_role(service, EngineRole.DECODE)
         count = len(readers) + len(writers)
         most = max(1, int(count * self._settings.most_changing))
         if count < 2 or len(seen.changing_by_id) >= most:
@@ -155,10 +155,10 @@
         free_readers = [item for item in readers if not _is_changing(item, seen)]
         if len(writers) > wanted and free_writers:
             idlest = min(free_writers, key=lambda engine: _spared(engine, writers))
-            return self._change(service, seen, idlest, EngineRole.READER, wanted)
+            return self._change(service, seen, idlest, EngineRole.PREFILL, wanted)
         if len(writers) < wanted and free_readers:
             idlest = min(free_readers, key=lambda engine: engine.backlog(now))
-            return self._change(service, seen, idlest, EngineRole.WRITER, wanted)
+            return self._change(service, seen, idlest, EngineRole.DECODE, wanted)
         return None
 
     def begun(self, service: str, now: float) -> None:
@@ -170,18 +170,18 @@
     def accepted(self, service: str, change: RoleChange) -> None:
         """Learn that an engine is on its way to another role."""
         seen = self._services_by_name.setdefault(service, _Service())
-        seen.changing_by_id[change.belief.target.target_id] = change.role
+        seen.changing_by_id[change.estimate.target.target_id] = change.role
 
     def _writers_wanted(
         self,
         service: str,
         seen: _Service,
         regret: float,
-        readers: list[TargetBelief],
-        writers: list[TargetBelief],
+        readers: list[TargetEstimate],
+        writers: list[TargetEstimate],
     ) -> int:
         count = len(readers) + len(writers)
-        least = self._least_writers(count)
+        least = self._min_decode_engines(count)
         if not seen.has_worked:
             # Nothing is under way that a change could disturb.
             return least
@@ -195,7 +195,7 @@
             return len(writers) - 1
         return len(writers)
 
-    def _least_writers(self, count: int) -> int:
+    def _min_decode_engines(self, count: int) -> int:
         least = math.ceil(count * self._settings.least_share)
         if count >= self._settings.least_from:
             least = max(least, self._settings.least_count)
@@ -214,14 +214,14 @@
         Load pattern: long answers come in a burst while readers are mostly idle. At the
         price of busy ones, 235 answers had 160 slots for 7 s before the first change.
         """
-        return max(LEAST_PRICE, seen.reader_use) * self._price(service)
+        return max(MIN_PRICE, seen.reader_use) * self._price(service)
 
     def _price(self, service: str) -> float:
         """Tell the engine seconds that a change and its turn back take."""
         model = self._fleet.model(service)
         return 2 * model.switch_time if model is not None else 0.0
 
-    def _slots(self, writers: list[TargetBelief]) -> float:
+    def _slots(self, writers: list[TargetEstimate]) -> float:
         """Tell the answers that one writer may write at once."""
         return max(1, writers[0].target.slots) * self._settings.fill
 
@@ -234,7 +234,7 @@
                 changing[name] = seen.changing_by_id.get(name, role)
         seen.changing_by_id = changing
 
-    def _of_role(self, service: str, role: EngineRole) -> list[TargetBelief]:
+    def _of_role(self, service: str, role: EngineRole) -> list[TargetEstimate]:
         """List engines of a role, or on their way to it."""
         changing_by_id = self._services_by_name[service].changing_by_id
         return [
@@ -249,19 +249,21 @@
         self,
         service: str,
         seen: _Service,
-        belief: TargetBelief,
+        estimate: TargetEstimate,
         role: EngineRole,
         wanted: int,
     ) -> RoleChange:
         readers = len(self._fleet.of_service(service)) - wanted
-        return RoleChange(belief, role, seen.streams, seen.unmet, seen.regret, readers)
+        return RoleChange(
+            estimate, role, seen.streams, seen.unmet, seen.regret, readers
+        )
 
 
-def _is_changing(engine: TargetBelief, seen: _Service) -> bool:
+def _is_changing(engine: TargetEstimate, seen: _Service) -> bool:
     return engine.target.target_id in seen.changing_by_id
 
 
-def _spared(engine: TargetBelief, writers: list[TargetBelief]) -> tuple[int, int]:
+def _spared(engine: TargetEstimate, writers: list[TargetEstimate]) -> tuple[int, int]:
     """
     Rank a writer that could read instead; the least is taken.
 
--- a/pimentolink/rolecontroller.py
+++ b/pimentolink/rolecontroller.py
@@ -16,9 +16,9 @@
 from pimentolink.httptypes import HttpReply, HttpRequest
 from pimentolink.leadership import READ_AGE, Leadership
 from pimentolink.logs import Log, LogEvent
-from pimentolink.peermessages import PeerNews, RoleChanging
+from pimentolink.peermessages import PeerPublisher, RoleChanging
 from pimentolink.rolebalance import RoleBalancer, RoleChange
-from pimentolink.targetestimate import EngineReport, TargetBelief
+from pimentolink.targetestimate import EngineReport, TargetEstimate
 from pimentolink.timers import Timers, together, with_timeout
 
 # Seconds for which an engine gets no further order after one without an answer: it
@@ -42,7 +42,7 @@
     after: int
 
 
-class OrderHolder:
+class RoleController:
     """
     Orders roles while this gateway leads.
 
@@ -57,8 +57,8 @@
         balancer: RoleBalancer,
         fleet: Fleet,
         dialect: Dialect,
-        send: Callable[[TargetBelief, HttpRequest], Coroutine[Any, Any, HttpReply]],
-        news: PeerNews,
+        send: Callable[[TargetEstimate, HttpRequest], Coroutine[Any, Any, HttpReply]],
+        news: PeerPublisher,
         timers: Timers,
         log: Log,
     ) -> None:
@@ -94,7 +94,7 @@
             await self._order_all(service, changes)
 
     def _may_order(self, change: RoleChange) -> bool:
-        in_doubt = self._in_doubt_until.get(change.belief.target.target_id, 0.0)
+        in_doubt = self._in_doubt_until.get(change.estimate.target.target_id, 0.0)
         is_leader = self._leadership.may_act(self._wait)
         return is_leader and self._timers.now() >= in_doubt
 
@@ -109,7 +109,7 @@
                 self._balancer.begun(service, self._timers.now())
                 continue
             message = self._dialect.change_role(
-                change.belief,
+                change.estimate,
                 report,
                 change.role,
                 self._leadership.name,
@@ -126,7 +126,7 @@
             return
         self._balancer.begun(service, self._timers.now())
         self._tell(LogEvent.ORDER_STARTED, change, f"after {order.after}")
-        outcome = await self._outcome(change.belief, order.message)
+        outcome = await self._outcome(change.estimate, order.message)
         if isinstance(outcome, Ok):
             self._accepted(service, change)
         else:
@@ -134,8 +134,8 @@
 
     async def _report(self, change: RoleChange) -> EngineReport | None:
         """Ask the engine what it is; the list tells it late."""
-        belief = change.belief
-        asking = self._send(belief, self._dialect.ask_report(belief))
+        estimate = change.estimate
+        asking = self._send(estimate, self._dialect.ask_report(estimate))
         try:
             reply = await with_timeout(self._timers, ORDER_TIMEOUT, asking)
         except (Failure, TimeoutError) as error:
@@ -148,14 +148,14 @@
         return found.ok_value
 
     async def _outcome(
-        self, belief: TargetBelief, message: HttpRequest
+        self, estimate: TargetEstimate, message: HttpRequest
     ) -> Result[None, Failure]:
-        sending = self._send(belief, message)
+        sending = self._send(estimate, message)
         try:
             reply = await with_timeout(self._timers, ORDER_TIMEOUT, sending)
         except (Failure, TimeoutError) as error:
             until = self._timers.now() + IN_DOUBT
-            self._in_doubt_until[belief.target.target_id] = until
+            self._in_doubt_until[estimate.target.target_id] = until
             return Err(OrderLost(f"{type(error).__name__}: {error}"))
         return self._dialect.order_outcome(reply)
 
@@ -163,17 +163,17 @@
         model = self._fleet.model(service)
         switch_time = model.switch_time if model is not None else 0.0
         seconds = switch_time + SETTLE_TIME
-        belief = change.belief
-        belief.changing_until = self._timers.now() + seconds
+        estimate = change.estimate
+        estimate.changing_until = self._timers.now() + seconds
         self._balancer.accepted(service, change)
-        target = belief.target
-        self._news.tell(RoleChanging(target.target_id, seconds, target.born))
+        target = estimate.target
+        self._news.broadcast(RoleChanging(target.target_id, seconds, target.born))
         self._tell(LogEvent.ORDER_DONE, change)
 
     def _tell(self, event: LogEvent, change: RoleChange, detail: str = "") -> None:
         self._log.write(
             event,
-            target=change.belief.target.target_id,
+            target=change.estimate.target.target_id,
             role=change.role.value,
             fence=self._leadership.fence,
             streams=round(change.streams, 1),
@@ -187,4 +187,4 @@
 def _is_needed(change: RoleChange, report: EngineReport) -> bool:
     """Tell whether an engine that is free is of another role, in the life meant."""
     is_other = report.role is not change.role
-    return is_other and not report.is_busy and report.is_of(change.belief.target)
+    return is_other and not report.is_busy and report.is_of(change.estimate.target)
--- a/pimentolink/router.py
+++ b/pimentolink/router.py
@@ -108,10 +108,10 @@
         if target.data_centre != self._data_centre:
             delay += settings.remote_penalty
         is_long = work >= settings.split_from
-        is_reader = target.load.role == PREFILL
-        if is_reader and not (is_long and settings.split):
+        is_prefill_engine = target.load.role == PREFILL
+        if is_prefill_engine and not (is_long and settings.split):
             delay += settings.misplaced_cost
-        elif is_long and not is_reader:
+        elif is_long and not is_prefill_engine:
             # It slows the answers under way there.
             delay += settings.interference * target.streams()
             delay += settings.reader_preference * has_readers
--- a/pimentolink/routes.py
+++ b/pimentolink/routes.py
@@ -38,7 +38,7 @@
     :ivar timeout: seconds after which the caller gets a final answer.
     :ivar latency_target: seconds within which an answer has its full worth; of a
         stream, until its first event.
-    :ivar most_targets: targets that one request may be sent to.
+    :ivar max_targets: targets that one request may be sent to.
     :ivar priority: 0 is the most urgent.
     :ivar needs_key: whether callers present an API key where the configuration has any.
     """
@@ -53,7 +53,7 @@
     is_generation: bool
     timeout: float
     latency_target: float
-    most_targets: int
+    max_targets: int
     priority: int
     needs_key: bool = True
 
@@ -87,12 +87,12 @@
     """
     Targets that serve the same requests.
 
-    :ivar most_connections: that one target takes from all gateways together.
+    :ivar max_connections: that one target takes from all gateways together.
     :ivar engine: for services of model engines.
     """
 
     name: str
-    most_connections: int
+    max_connections: int
     engine: EngineModel | None
 
 
--- a/pimentolink/sidecar.py
+++ b/pimentolink/sidecar.py
@@ -186,7 +186,7 @@
         elif kind == "document":
             self._take_document(link, message.document)
         elif kind == "plan_news":
-            self._orders.tell(message.plan_news.revision)
+            self._orders.broadcast(message.plan_news.revision)
 
     def link_down(self, link: SidecarLink) -> None:
         """Give up what a lost entry asked for."""
--- a/pimentolink/stalldetector.py
+++ b/pimentolink/stalldetector.py
@@ -13,7 +13,7 @@
 FREEZE = 0.5
 
 
-class FreezeWatch:
+class StallDetector:
     """
     Compares clocks at a steady pace.
 
--- a/pimentolink/suspects.py
+++ b/pimentolink/suspects.py
@@ -21,15 +21,15 @@
 SUCCESS_KEEP = 60.0
 # How many are kept of each, the newest: requests of which one crash is known, of which
 # more are, of which an answer is, crashes held against one no more, targets.
-MOST_STRUCK_ONCE = 4096
-MOST_SUSPECTS = 1024
-MOST_SUCCESSES = 4096
-MOST_CLEARED = 4096
-MOST_TARGETS = 1024
+MAX_STRUCK_ONCE = 4096
+MAX_SUSPECTS = 1024
+MAX_SUCCESSES = 4096
+MAX_CLEARED = 4096
+MAX_TARGETS = 1024
 # Requests that one target cut off, which are kept until it is known whether it ended.
-MOST_BROKEN = 1024
+MAX_BROKEN = 1024
 # Own tries under way; they are made one at a time, so more are ones without an outcome.
-MOST_SENT_TRIES = 64
+MAX_SENT_TRIES = 64
 
 
 class Unstored(NamedTuple):
@@ -127,11 +127,11 @@
         broken = self._broken_by_target.setdefault(target, OrderedDict())
         broken[fingerprint] = found
         broken.move_to_end(fingerprint)
-        _bound(broken, MOST_BROKEN)
+        _bound(broken, MAX_BROKEN)
         while found.at - next(iter(broken.values())).at > BREAK_KEEP:
             broken.popitem(last=False)
         self._broken_by_target.move_to_end(target)
-        _bound(self._broken_by_target, MOST_TARGETS)
+        _bound(self._broken_by_target, MAX_TARGETS)
 
     def ended(self, target: int, now: float) -> list[str]:
         """
@@ -140,7 +140,7 @@
         :returns: the requests that it cut off, which are struck.
         """
         self._ended_at_by_target[target] = now
-        _bound(self._ended_at_by_target, MOST_TARGETS)
+        _bound(self._ended_at_by_target, MAX_TARGETS)
         broken = self._broken_by_target.pop(target, OrderedDict())
         for name, found in broken.items():
             if now - found.at <= BREAK_KEEP:
@@ -195,10 +195,10 @@
     def _judge(self, fingerprint: str, target: int, now: float) -> None:
         """Blame a request for the crash under its try, unless another was tried too."""
         first = self._tried_by_target.setdefault(target, fingerprint)
-        _bound(self._tried_by_target, MOST_TARGETS)
+        _bound(self._tried_by_target, MAX_TARGETS)
         if first != fingerprint:
             self._contested_targets[target] = None
-            _bound(self._contested_targets, MOST_TARGETS)
+            _bound(self._contested_targets, MAX_TARGETS)
             self._acquit(first, now)
         self._blame(fingerprint)
 
@@ -220,7 +220,7 @@
         if found is not None and self._failed_tries(found):
             for target in found.struck_at_by_target:
                 self._blamed_by_target[target] = fingerprint
-            _bound(self._blamed_by_target, MOST_TARGETS)
+            _bound(self._blamed_by_target, MAX_TARGETS)
 
     def _failed_tries(self, found: Suspicion) -> int:
         """Count the crashes under a request's own tries that no other explains."""
@@ -254,10 +254,10 @@
         self._forget(fingerprint)
         if len(found.struck_at_by_target) < SUSPECT_FROM:
             self._once_by_fingerprint[fingerprint] = found
-            _bound(self._once_by_fingerprint, MOST_STRUCK_ONCE)
+            _bound(self._once_by_fingerprint, MAX_STRUCK_ONCE)
         else:
             self._again_by_fingerprint[fingerprint] = found
-            _bound(self._again_by_fingerprint, MOST_SUSPECTS)
+            _bound(self._again_by_fingerprint, MAX_SUSPECTS)
 
     def _forget(self, fingerprint: str) -> None:
         self._once_by_fingerprint.pop(fingerprint, None)
@@ -331,7 +331,7 @@
     def try_sent(self, request_id: str) -> None:
         """Learn that an own try is on its way, which another's news do not undo."""
         self._sent_tries[request_id] = None
-        _bound(self._sent_tries, MOST_SENT_TRIES)
+        _bound(self._sent_tries, MAX_SENT_TRIES)
 
     def tried(self, fingerprint: str, now: float) -> None:
         """
@@ -353,7 +353,7 @@
         """
         self._answered_at[fingerprint] = now
         self._answered_at.move_to_end(fingerprint)
-        _bound(self._answered_at, MOST_SUCCESSES)
+        _bound(self._answered_at, MAX_SUCCESSES)
         crashes = self.crashes(fingerprint, now)
         self.clear(fingerprint, crashes, now)
         return crashes
@@ -374,7 +374,7 @@
             self._drop_others(fingerprint, explained)
         for target in targets:
             self._cleared[fingerprint, target] = None
-        _bound(self._cleared, MOST_CLEARED)
+        _bound(self._cleared, MAX_CLEARED)
         found = self._find(fingerprint, now)
         return found is not None and self._drop(fingerprint, found, targets)
 
--- a/pimentolink/suspectstore.py
+++ b/pimentolink/suspectstore.py
@@ -16,7 +16,7 @@
 from pimentolink.logs import Log, LogEvent
 from pimentolink.peermessages import (
     SuspectCleared,
-    SuspectNews,
+    SuspectMessage,
     TargetCrashed,
     crash_messages,
 )
@@ -33,7 +33,7 @@
 HEARD_WAIT = 1.0
 HEARD_SPREAD = 1.0
 # Messages of one document, the newest; keeps it well below what a key may hold.
-MOST_NEWS = 256
+MAX_NEWS = 256
 
 
 class SuspectDocument(msgspec.Struct):
@@ -122,13 +122,15 @@
         self._written: list[_Told] = []
         # What this gateway cleared and has not written; the oldest goes if the store is
         # away for long.
-        self._unwritten: deque[SuspectCleared] = deque(maxlen=MOST_NEWS)
+        self._unwritten: deque[SuspectCleared] = deque(maxlen=MAX_NEWS)
         self._is_lost = False
         self._timer: Timer | None = None
         self._due_at = 0.0
         self._writing: Deferred[None] | None = None
         self.is_divided: Callable[[], bool] = lambda: False
-        self.on_news: Callable[[SuspectNews, str], None] = lambda message, source: None
+        self.on_news: Callable[[SuspectMessage, str], None] = lambda message, source: (
+            None
+        )
 
     def stop(self) -> None:
         """Write nothing more."""
@@ -214,7 +216,7 @@
     async def _try_to_write(self, fresh: list[_Told]) -> None:
         begin = self._timers.now() - KEEP
         before = [told for told in self._written if told.at >= begin]
-        told = [*before, *fresh][-MOST_NEWS:]
+        told = [*before, *fresh][-MAX_NEWS:]
         lease = await self._keyspace.grant(KEEP)
         document = SuspectDocument([item.message for item in told])
         write = Write(self._key, msgspec.json.encode(document), self._revision, lease)
--- a/pimentolink/targetestimate.py
+++ b/pimentolink/targetestimate.py
@@ -10,7 +10,7 @@
 from pimentolink.gatewaysettings import EjectionSettings
 from pimentolink.peermessages import target_key
 from pimentolink.prefillcost import ServiceCosts, Slowness
-from pimentolink.prefixcache import PartIndex, PartMemory
+from pimentolink.prefixcache import PrefixCacheEstimate, PrefixCacheIndex
 from pimentolink.routes import EngineModel
 
 # Weight of one outcome in a target's share of failures; the last ten or so decide.
@@ -29,8 +29,8 @@
     """What an engine does; other targets have no role."""
 
     NONE = "none"
-    READER = "reader"
-    WRITER = "writer"
+    PREFILL = "reader"
+    DECODE = "writer"
 
 
 class Target(NamedTuple):
@@ -76,7 +76,7 @@
         return not self.born or not target.born or self.born == target.born
 
 
-def reading_ticket(life: str, number: int) -> str:
+def prefill_ticket(life: str, number: int) -> str:
     """
     Name a reading so that no other gateway has one of that name.
 
@@ -86,7 +86,7 @@
     return f"{life}-{number}"
 
 
-class Reading(NamedTuple):
+class Prefill(NamedTuple):
     """
     A prompt that an engine reads or has waiting.
 
@@ -103,10 +103,12 @@
     forgotten_at: float
 
 
-class TargetBelief:
+class TargetEstimate:
     """What is believed of one target, from the list and from outcomes."""
 
-    def __init__(self, target: Target, costs: ServiceCosts, index: PartIndex) -> None:
+    def __init__(
+        self, target: Target, costs: ServiceCosts, index: PrefixCacheIndex
+    ) -> None:
         """
         Start without knowledge of load.
 
@@ -122,9 +124,9 @@
         self._copy_rate = NO_COPY_RATE
         # What it will hold once it has read all that it was given, and what it holds
         # already, so that other engines can fetch it.
-        self.parts = PartMemory(target.target_id, index)
-        self.fetchable = PartMemory(target.target_id)
-        self.readings_by_ticket: dict[str, Reading] = {}
+        self.parts = PrefixCacheEstimate(target.target_id, index)
+        self.fetchable = PrefixCacheEstimate(target.target_id)
+        self.prefills_by_ticket: dict[str, Prefill] = {}
         self.in_flight = 0
         self.streams_by_peer: dict[str, int] = {}
         self.missing_since: float | None = None
@@ -145,7 +147,7 @@
         """
         self._copy_rate = model.copy_rate if model else NO_COPY_RATE
         for memory in (self.parts, self.fetchable):
-            memory.most_tokens = model.cache_tokens if model else 0
+            memory.capacity_tokens = model.cache_tokens if model else 0
 
     def load(self) -> int:
         """Count requests under way here, from all gateways."""
@@ -153,7 +155,7 @@
 
     def streams(self) -> int:
         """Count answers that it writes; prompts that it still reads are none."""
-        return max(0, self.load() - len(self.readings_by_ticket))
+        return max(0, self.load() - len(self.prefills_by_ticket))
 
     def is_usable(self, now: float) -> bool:
         """Tell whether it may get new work."""
@@ -169,14 +171,14 @@
         return now < self.ejected_until
 
     @property
-    def is_writer(self) -> bool:
+    def is_decode_engine(self) -> bool:
         """Whether it writes answers, also."""
-        return self.target.role is EngineRole.WRITER
+        return self.target.role is EngineRole.DECODE
 
     @property
     def is_timed(self) -> bool:
         """Whether what is predicted of it rests on readings that were timed."""
-        return self._costs.is_known(self.is_writer)
+        return self._costs.is_known(self.is_decode_engine)
 
     def work_time(self, tokens: int) -> float:
         """
@@ -185,9 +187,9 @@
         :param tokens: to be read.
         :returns: seconds.
         """
-        is_writer = self.is_writer
-        slowness = self.slowness.factor / self._costs.usual(is_writer).factor
-        return slowness * self._costs.seconds(tokens, is_writer)
+        is_decode_engine = self.is_decode_engine
+        slowness = self.slowness.factor / self._costs.usual(is_decode_engine).factor
+        return slowness * self._costs.seconds(tokens, is_decode_engine)
 
     def copy_time(self, tokens: int) -> float:
         """
@@ -206,10 +208,10 @@
 
         :returns: seconds from now.
         """
-        if not self.readings_by_ticket:
+        if not self.prefills_by_ticket:
             return 0.0
         self._forget_lost(now)
-        readings = self.readings_by_ticket.values()
+        readings = self.prefills_by_ticket.values()
         total = sum(self._reading_time(reading) for reading in readings)
         # Tells how much of the first one is done; the others wait behind it.
         first = next(iter(readings), None)
@@ -219,19 +221,19 @@
         done = min(max(0.0, now - begun), 0.9 * self._reading_time(first))
         return max(0.0, total - done)
 
-    def _reading_time(self, reading: Reading) -> float:
+    def _reading_time(self, reading: Prefill) -> float:
         return self.work_time(reading.tokens) + self.copy_time(reading.copied)
 
     def _forget_lost(self, now: float) -> None:
         lost = [
             ticket
-            for ticket, reading in self.readings_by_ticket.items()
+            for ticket, reading in self.prefills_by_ticket.items()
             if now > reading.forgotten_at
         ]
         for ticket in lost:
-            del self.readings_by_ticket[ticket]
+            del self.prefills_by_ticket[ticket]
 
-    def begin_reading(
+    def start_prefill(
         self,
         ticket: str,
         tokens: int,
@@ -248,11 +250,11 @@
         """
         expected = way + self.backlog(now) + self.work_time(tokens)
         forgotten_at = now + 3 * expected + LOST_END
-        reading = Reading(tokens, copied, tuple(parts), now + way, forgotten_at)
-        self.readings_by_ticket[ticket] = reading
+        reading = Prefill(tokens, copied, tuple(parts), now + way, forgotten_at)
+        self.prefills_by_ticket[ticket] = reading
         self.parts.note(reading.parts)
 
-    def end_reading(self, ticket: str, is_good: bool, now: float) -> float | None:
+    def end_prefill(self, ticket: str, is_good: bool, now: float) -> float | None:
         """
         Count a reading no more, and learn from it.
 
@@ -263,7 +265,7 @@
         :returns: seconds for which it kept the engine busy; ``None`` if it is not
             known or was not done.
         """
-        reading = self.readings_by_ticket.pop(ticket, None)
+        reading = self.prefills_by_ticket.pop(ticket, None)
         if reading is None:
             return None
         busy_since = max(reading.arrives_at, self._last_end)
@@ -275,21 +277,21 @@
         self._learn(reading, took)
         return took
 
-    def drop_reading(self, ticket: str) -> None:
+    def drop_prefill(self, ticket: str) -> None:
         """Count a reading no more whose end was not seen, and learn nothing from it."""
-        self.readings_by_ticket.pop(ticket, None)
+        self.prefills_by_ticket.pop(ticket, None)
 
-    def _learn(self, reading: Reading, took: float) -> None:
+    def _learn(self, reading: Prefill, took: float) -> None:
         if reading.copied:
             tokens_time = reading.copied / self._copy_rate
             work = self.work_time(reading.tokens)
             self._costs.learn_copy(took - work - tokens_time)
             return
-        usual = self._costs.seconds(reading.tokens, self.is_writer)
+        usual = self._costs.seconds(reading.tokens, self.is_decode_engine)
         if self.is_timed:
             self.slowness.learn(usual, took)
-            self._costs.usual(self.is_writer).learn(usual, took)
-        self._costs.of_role(self.is_writer).learn(reading.tokens, took)
+            self._costs.usual(self.is_decode_engine).learn(usual, took)
+        self._costs.of_role(self.is_decode_engine).learn(reading.tokens, took)
 
     def fetched(self, parts: tuple[PromptPart, ...]) -> None:
         """Learn that it fetched a prompt, which it keeps like its own."""
--- a/pimentolink/targethttp.py
+++ b/pimentolink/targethttp.py
@@ -134,19 +134,19 @@
         self._feed_reader()
         return reader
 
-    async def read_all(self, most_bytes: int) -> bytes:
+    async def read_all(self, max_bytes: int) -> bytes:
         """
         Read the rest of the answer.
 
-        :raises ReplyInvalid: if it is longer than ``most_bytes``.
+        :raises ReplyInvalid: if it is longer than ``max_bytes``.
         """
         pieces: list[bytes] = []
         size = 0
         while (piece := await self.read()) is not None:
             size += len(piece)
-            if size > most_bytes:
+            if size > max_bytes:
                 self.abort()
-                raise ReplyInvalid(f"an answer over {most_bytes} bytes")
+                raise ReplyInvalid(f"an answer over {max_bytes} bytes")
             pieces.append(piece)
         return b"".join(pieces)
 
@@ -303,23 +303,23 @@
         self.most = settings.most
         self.count = 0
 
-    async def acquire(self, most_idle: float | None = None) -> TargetConnection:
+    async def acquire(self, max_idle: float | None = None) -> TargetConnection:
         """
         Take an idle connection or open one.
 
-        :param most_idle: seconds that it may have been idle; a request that may not
+        :param max_idle: seconds that it may have been idle; a request that may not
             be repeated should not meet a connection that is about to be closed.
         :raises NotConnected: if none can be opened; nothing was sent.
         :raises ConnectionsExhausted: at the bound.
         """
-        connection = self._take_idle(most_idle)
+        connection = self._take_idle(max_idle)
         if connection is not None:
             return connection
         if self.count >= self.most:
             raise ConnectionsExhausted(f"{self.count} connections are open")
         return await self.open()
 
-    def _take_idle(self, most_idle: float | None) -> TargetConnection | None:
+    def _take_idle(self, max_idle: float | None) -> TargetConnection | None:
         """
         Take the connection that was used last.
 
@@ -330,7 +330,7 @@
             connection = self._idle[-1]
             idle = self._timers.now() - connection.idle_since
             if connection.is_open and idle < connection.idle_limit:
-                is_too_old = most_idle is not None and idle >= most_idle
+                is_too_old = max_idle is not None and idle >= max_idle
                 if is_too_old and self.count < self.most:
                     return None
                 return self._idle.pop()
@@ -394,19 +394,19 @@
 
 
 async def exchange(
-    pool: ConnectionPool, request: HttpRequest, accepts: Accepts, most_bytes: int
+    pool: ConnectionPool, request: HttpRequest, accepts: Accepts, max_bytes: int
 ) -> HttpReply:
     """
     Make one whole exchange.
 
     :raises NotConnected: if nothing was sent.
     :raises ConnectionBroken: if it ended early.
-    :raises ReplyInvalid: if the answer is none, or longer than ``most_bytes``.
+    :raises ReplyInvalid: if the answer is none, or longer than ``max_bytes``.
     """
     connection = await pool.acquire()
     try:
         head = await connection.send(request, accepts)
-        body = await connection.read_all(most_bytes)
+        body = await connection.read_all(max_bytes)
     except BaseException:
         connection.abort()
         raise
--- a/pimentolink/usage.py
+++ b/pimentolink/usage.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 # Windows before the newest that are kept; what was not reported by then is late.
-MOST_WINDOWS = 8
+MAX_WINDOWS = 8
 
 Counts = dict[str, int]
 
--- a/pimentolink/usagepublisher.py
+++ b/pimentolink/usagepublisher.py
@@ -8,11 +8,11 @@
 import xxhash
 
 from pimentolink.clocksync import TELL_INTERVAL as CLOCK_INTERVAL
-from pimentolink.clocksync import TrueTime
-from pimentolink.peermessages import ClockTold, Message, UsageTold
+from pimentolink.clocksync import SynchronizedClock
+from pimentolink.peermessages import ClockReport, Message, UsageCounts
 from pimentolink.timers import Repeater, Timers
 from pimentolink.usage import (
-    MOST_WINDOWS,
+    MAX_WINDOWS,
     Counts,
     UsageBook,
     WindowTotals,
@@ -28,21 +28,21 @@
 DEPUTIES = 2
 # Bytes of the counts of one message, so that it fits into a datagram, and of one count
 # besides the organisation's name.
-MOST_BYTES = 1000
+MAX_BYTES = 1000
 COUNT_BYTES = 8
 
 
 class UsagePeers(Protocol):
     """Sends messages to some gateways."""
 
-    def tell(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         """Tell all gateways."""
 
-    def tell_some(self, gateways: Iterable[str], messages: list[Message]) -> None:
+    def send_to(self, gateways: Iterable[str], messages: list[Message]) -> None:
         """Tell some gateways, by name."""
 
 
-class UsageTeller:
+class UsagePublisher:
     """
     Counts here, and keeps the leader's and its deputies' counts up to date.
 
@@ -56,7 +56,7 @@
         life: str,
         window: float,
         peers: UsagePeers,
-        clock: TrueTime,
+        clock: SynchronizedClock,
         timers: Timers,
     ) -> None:
         """
@@ -110,17 +110,17 @@
         moment = self._clock.now() - (self._timers.now() - began_at)
         self.book.add(self._life, self.window_of(moment), organisation)
 
-    def take(self, life: str, message: ClockTold | UsageTold) -> None:
+    def take(self, life: str, message: ClockReport | UsageCounts) -> None:
         """
         Learn from another gateway.
 
         :param life: of the process that tells.
         """
-        if isinstance(message, ClockTold):
+        if isinstance(message, ClockReport):
             self._clock.told(life, message.wall_ms / 1000)
             return
         newest = self.window_of(self._clock.now()) + 1
-        if max(self._open_from, newest - MOST_WINDOWS) <= message.window <= newest:
+        if max(self._open_from, newest - MAX_WINDOWS) <= message.window <= newest:
             totals = WindowTotals(message.life, message.window, message.counts)
             self.book.take(totals)
 
@@ -135,7 +135,7 @@
         if not leader or leader == self._instance:
             return
         known = self.book.all_totals(self.book.windows())
-        self._peers.tell_some([leader], _messages(known))
+        self._peers.send_to([leader], _messages(known))
 
     def _turn(self) -> None:
         self._forget()
@@ -163,7 +163,7 @@
             if item.life == self._life:
                 self._told(item.window).update(item.counts)
         if told:
-            self._peers.tell_some(self._listeners(), _messages(told))
+            self._peers.send_to(self._listeners(), _messages(told))
 
     def _listeners(self) -> list[str]:
         """Choose the leader and some others, by their names, the same each time."""
@@ -175,13 +175,13 @@
 
     def _forget(self) -> None:
         newest = self.window_of(self._clock.now())
-        first = max(self._open_from, newest - MOST_WINDOWS)
+        first = max(self._open_from, newest - MAX_WINDOWS)
         self.book.forget_before(first)
         for window in [window for window in self._told_by_window if window < first]:
             del self._told_by_window[window]
 
     def _tell_clock(self) -> None:
-        self._peers.tell(ClockTold(int(self._timers.wall_time() * 1000)))
+        self._peers.broadcast(ClockReport(int(self._timers.wall_time() * 1000)))
 
 
 def _distance(gateway: str, other: str) -> int:
@@ -192,7 +192,7 @@
 def _messages(totals: Iterable[WindowTotals]) -> list[Message]:
     """Write totals as messages that each fit into a datagram."""
     return [
-        UsageTold(item.life, item.window, counts)
+        UsageCounts(item.life, item.window, counts)
         for item in totals
         for counts in _split(item.counts)
     ]
@@ -204,7 +204,7 @@
     size = 0
     for name, count in counts.items():
         size += len(name.encode()) + COUNT_BYTES
-        if chunk and size > MOST_BYTES:
+        if chunk and size > MAX_BYTES:
             yield chunk
             chunk, size = {}, len(name.encode()) + COUNT_BYTES
         chunk[name] = count
--- a/pimentolink/usagereporter.py
+++ b/pimentolink/usagereporter.py
@@ -9,7 +9,7 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from pimentolink.clocksync import TrueTime
+from pimentolink.clocksync import SynchronizedClock
 from pimentolink.errors import Failure, KeyValueUnavailable, LeaseLost, ReportRefused
 from pimentolink.gatewaysettings import UsageSettings
 from pimentolink.jsondocument import read_entry
@@ -17,7 +17,7 @@
 from pimentolink.leadership import LEADER_KEY, READ_AGE, Leadership
 from pimentolink.logs import Log, LogEvent
 from pimentolink.timers import Timers, in_background, pause, with_timeout
-from pimentolink.usagepublisher import UsageTeller
+from pimentolink.usagepublisher import UsagePublisher
 
 USAGE_KEY = "pimentolink/usage"
 # Seconds between two looks at what is due.
@@ -99,8 +99,8 @@
         leadership: Leadership,
         keyspace: Keyspace,
         api: UsageApi,
-        teller: UsageTeller,
-        clock: TrueTime,
+        publisher: UsagePublisher,
+        clock: SynchronizedClock,
         timers: Timers,
         log: Log,
     ) -> None:
@@ -111,7 +111,7 @@
         :param leadership: tells whether this gateway leads.
         :param keyspace: the store.
         :param api: takes reports.
-        :param teller: knows the counts.
+        :param publisher: knows the counts.
         :param clock: the time of day.
         :param timers: the timer service.
         :param log: where events go.
@@ -120,7 +120,7 @@
         self._leadership = leadership
         self._keyspace = keyspace
         self._api = api
-        self._teller = teller
+        self._publisher = publisher
         self._clock = clock
         self._timers = timers
         self._log = log
@@ -138,7 +138,7 @@
 
     def start(self) -> None:
         """Report whenever this gateway leads."""
-        self._first = self._teller.window_of(self._clock.now())
+        self._first = self._publisher.window_of(self._clock.now())
         self._running = in_background(self._run())
 
     def stop(self) -> None:
@@ -156,7 +156,7 @@
     def _learn_epoch(self, epoch: int) -> None:
         if self._epoch is None or epoch > self._epoch:
             # Reports that were committed just before may be missing from now on.
-            self._first = self._teller.window_of(self._clock.now())
+            self._first = self._publisher.window_of(self._clock.now())
             self._is_key_known = False
             self._epoch = epoch
 
@@ -173,7 +173,7 @@
             is_known = self._committed is not None and self._committed.report == report
             if not is_known:
                 self._committed = _Committed(report, is_own=False)
-        self._teller.closed_before(report.window)
+        self._publisher.closed_before(report.window)
 
     async def _run(self) -> None:
         while True:
@@ -221,13 +221,13 @@
     async def _commit_next(self) -> _Step:
         now = self._clock.now()
         window = max(self._first, self._next_window())
-        oldest = self._teller.window_of(now - self._settings.late)
+        oldest = self._publisher.window_of(now - self._settings.late)
         if window < oldest:
             self._missed(window, oldest - 1, "their time has passed")
             window = oldest
         if now < self._end_of(window) + SETTLE_TIME:
             return _Step.IDLE
-        counts = self._teller.book.totals(window)
+        counts = self._publisher.book.totals(window)
         report = UsageReport(window, counts, self._keyspace.epoch)
         guard = (LEADER_KEY, self._leadership.fence)
         value = msgspec.json.encode(report)
--- a/specs/attempts.py
+++ b/specs/attempts.py
@@ -10,7 +10,7 @@
 from specs.protocol import make_protocol
 
 TARGETS = 2
-MOST_SENDINGS = 3
+MAX_SENDINGS = 3
 GUARDS = frozenset({"doubt", "one", "typed", "bound"})
 
 # What the gateway knows of its last sending.
@@ -104,7 +104,7 @@
 
 def _sending_steps(state: State, guards: frozenset[str]) -> Iterator[tuple[str, State]]:
     is_waiting = state.phase == SENT and "one" in guards
-    if state.is_doubtful or is_waiting or state.sendings == MOST_SENDINGS:
+    if state.is_doubtful or is_waiting or state.sendings == MAX_SENDINGS:
         return
     for target in range(TARGETS):
         sent = state._replace(
--- a/specs/authority.py
+++ b/specs/authority.py
@@ -11,7 +11,7 @@
 
 LAST_PLAN = 3
 LAST_LIFE = 2
-MOST_FLIGHTS = 2
+MAX_FLIGHTS = 2
 # An order begins within this time of being sent, or never.
 TRANSIT_TICKS = 1
 # So the quiet time must be longer, not as long: the first version of this
@@ -123,7 +123,7 @@
             for plan in _readable(state, guards):
                 if plan != state.newest:
                     yield _moved(state, number, f"reads {plan}", phase=READ, read=plan)
-        elif sidecar.phase == READ and len(state.flights) < MOST_FLIGHTS:
+        elif sidecar.phase == READ and len(state.flights) < MAX_FLIGHTS:
             yield _sending(state, number, guards)
         elif sidecar.phase == SENT:
             yield _moved(state, number, "gives the answer up", phase=WAITING, waited=0)
--- a/specs/holder.py
+++ b/specs/holder.py
@@ -17,7 +17,7 @@
 READ_TICKS = 1
 # A new holder waits for both: the last one may have read the key just before.
 WAIT_TICKS = LEASE_TICKS + READ_TICKS
-MOST_LATE = 2
+MAX_LATE = 2
 GUARDS = frozenset({"read", "fresh", "wait", "expected"})
 
 IDLE = "idle"
@@ -124,7 +124,7 @@
     back = _put(state, number, phase=HOLDS, read_age=0, is_current=False)
     if "fresh" in guards and gateway.read_age > READ_TICKS:
         yield f"{number} read too long ago", back
-    elif len(state.late) < MOST_LATE:
+    elif len(state.late) < MAX_LATE:
         yield f"{number} orders", _arrived(back, gateway)
 
 
--- a/specs/versions.py
+++ b/specs/versions.py
@@ -11,7 +11,7 @@
 
 LAST_VERSION = 3
 # Readings and events that are on their way to the gateway at once.
-MOST_COMING = 2
+MAX_COMING = 2
 GUARDS = frozenset({"rises", "ready"})
 
 
@@ -48,7 +48,7 @@
     """
     if state.written < LAST_VERSION:
         yield "the operator writes", state._replace(written=state.written + 1)
-    if len(state.coming) < MOST_COMING:
+    if len(state.coming) < MAX_COMING:
         coming = (*state.coming, state.written)
         yield "the store answers", state._replace(coming=coming)
     for number, version in enumerate(state.coming):
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -75,9 +75,9 @@
 class Cache:
     """Blocks of prompts in bounded memory, least recently used out first."""
 
-    def __init__(self, most_blocks: int) -> None:
+    def __init__(self, max_blocks: int) -> None:
         """Start empty."""
-        self._most = most_blocks
+        self._most = max_blocks
         self._blocks: OrderedDict[str, None] = OrderedDict()
         self._number = 0
         self.events: deque[dict[str, Any]] = deque(maxlen=EVENTS_KEPT)
--- a/tests/gatewayparts.py
+++ b/tests/gatewayparts.py
@@ -6,9 +6,9 @@
 from twisted.internet.testing import StringTransport
 
 from pimentolink.dialect import PromptPart
-from pimentolink.egressqueue import Uplink
+from pimentolink.egressqueue import EgressQueue
 from pimentolink.fleet import Fleet
-from pimentolink.gatewaydelay import OwnDelay
+from pimentolink.gatewaydelay import GatewayDelay
 from pimentolink.gatewaysettings import (
     EjectionSettings,
     GatewaySettings,
@@ -16,7 +16,7 @@
     StoreSettings,
 )
 from pimentolink.placement import Placer, WaitingPrompt
-from pimentolink.prefillqueue import ReadingQueue
+from pimentolink.prefillqueue import PrefillQueue
 from pimentolink.routes import EngineModel, Repeatability, Route, WeightedService
 from pimentolink.targetestimate import EngineRole, Target
 from pimentolink.timers import ManualTimers
@@ -42,7 +42,7 @@
         is_generation=False,
         timeout=2.0,
         latency_target=0.5,
-        most_targets=2,
+        max_targets=2,
         priority=1,
     )._replace(**changes)
 
@@ -65,30 +65,30 @@
     found.set_models({"s": MODEL})
     for item in targets:
         found.put(item)
-    for is_writer, rate in ((False, 10_000), (True, 5_000)) if is_timed else ():
+    for is_decode_engine, rate in ((False, 10_000), (True, 5_000)) if is_timed else ():
         for tokens in (1_000, 2_000, 4_000, 8_000):
-            cost = found.costs("s").of_role(is_writer)
+            cost = found.costs("s").of_role(is_decode_engine)
             cost.learn(tokens, OVERHEAD + tokens / rate)
     return found
 
 
 def engines(readers: int, writers: int) -> list[Target]:
     names = [f"reader-{number}" for number in range(readers)]
-    found = [target(name, EngineRole.READER) for name in names]
+    found = [target(name, EngineRole.PREFILL) for name in names]
     names = [f"writer-{number}" for number in range(writers)]
-    return found + [target(name, EngineRole.WRITER) for name in names]
+    return found + [target(name, EngineRole.DECODE) for name in names]
 
 
-def queue_over(found: Fleet, **placement: Any) -> ReadingQueue:
+def queue_over(found: Fleet, **placement: Any) -> PrefillQueue:
     settings = PlacementSettings(**placement)
-    return ReadingQueue(settings, placer_over(found, settings))
+    return PrefillQueue(settings, placer_over(found, settings))
 
 
 def placer_over(
     found: Fleet, settings: PlacementSettings, megabits: float = 0.0
 ) -> Placer:
     return Placer(
-        settings, found, "north", Uplink(megabits, ManualTimers()), OwnDelay()
+        settings, found, "north", EgressQueue(megabits, ManualTimers()), GatewayDelay()
     )
 
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -34,7 +34,7 @@
 # reach the store learn of it, and how often it may be sent to targets from then on.
 KNOWN_AFTER = 3
 KNOWN_WITHIN = 3.0
-MOST_FATAL = 3
+MAX_FATAL = 3
 # Seconds in which all kinds of requests must be served again after the last fault.
 RECOVERY = 12.0
 # Seconds after a target was listed as leaving until nothing may reach it: a gateway may
@@ -215,7 +215,7 @@
         return []
     known_at = crashes[KNOWN_AFTER - 1] + KNOWN_WITHIN
     late = [item for item in sent if item.event != "crash" and item.at > known_at]
-    if len(late) <= MOST_FATAL:
+    if len(late) <= MAX_FATAL:
         return []
     return [f"what crashed {len(crashes)} targets was sent to {len(late)} more"]
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -53,7 +53,7 @@
 
 class TestIdempotent:
     def test_runs_on_no_more_targets_than_its_route_allows(self):
-        attempts = Attempts(route(most_targets=2))
+        attempts = Attempts(route(max_targets=2))
         for name in ("a", "b"):
             assert attempts.may_send(name)
             attempts.sent(name)
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -35,10 +35,10 @@
     async def admit(self, request):
         pass
 
-    def cut_off(self, request, belief):
+    def cut_off(self, request, estimate):
         pass
 
-    def connection_lost(self, belief):
+    def connection_lost(self, estimate):
         pass
 
     def answered(self, request):
@@ -62,8 +62,8 @@
 
     def begin(self, time_left):
         outcome = []
-        belief = self.fleet.targets_by_id["t"]
-        begun = self.caller.begin(REQUEST, belief, Sending("t", time_left))
+        estimate = self.fleet.targets_by_id["t"]
+        begun = self.caller.begin(REQUEST, estimate, Sending("t", time_left))
         Deferred.fromCoroutine(begun).addBoth(outcome.append)
         return outcome
 
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -62,21 +62,21 @@
 
     def test_engines_of_the_own_cell_get_work(self):
         found = self.known(
-            target("own", EngineRole.READER, data_centre="dc-0"),
-            target("other", EngineRole.READER, data_centre="dc-1"),
+            target("own", EngineRole.PREFILL, data_centre="dc-0"),
+            target("other", EngineRole.PREFILL, data_centre="dc-1"),
         )
         assert [item.target.target_id for item in found.usable("s", 0.0)] == ["own"]
         assert found.usable_count("s", 0.0) == 1
 
     def test_other_cells_get_work_once_the_own_one_takes_none(self):
         found = self.known(
-            target("own", EngineRole.READER, data_centre="dc-0"),
-            target("other", EngineRole.READER, data_centre="dc-1"),
+            target("own", EngineRole.PREFILL, data_centre="dc-0"),
+            target("other", EngineRole.PREFILL, data_centre="dc-1"),
         )
         found.targets_by_id["own"].missing_since = 0.0
         assert [item.target.target_id for item in found.usable("s", 0.0)] == ["other"]
 
     def test_cell_without_targets_uses_all(self):
-        found = self.known(target("other", EngineRole.READER, data_centre="dc-1"))
+        found = self.known(target("other", EngineRole.PREFILL, data_centre="dc-1"))
         assert [item.target.target_id for item in found.usable("s", 0.0)] == ["other"]
         assert found.usable_count("s", 0.0) == 1
--- a/tests/test_configurationverifier.py
+++ b/tests/test_configurationverifier.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred
 
 from pimentolink.configurationage import REWRITE_TIME, ConfigurationAge
-from pimentolink.configurationverifier import ConfigurationProver
+from pimentolink.configurationverifier import ConfigurationVerifier
 from pimentolink.keyspacefollower import KeyspaceFollower
 from pimentolink.logs import Log
 from pimentolink.membership import Membership
@@ -53,7 +53,7 @@
 
     def __init__(self, timers):
         self.timers = timers
-        self.provers = {}
+        self.verifiers = {}
         self.delay = 0.002
         self.is_cut = False
         self.sent = 0
@@ -62,10 +62,10 @@
         """Make what one gateway sends with."""
         return _Sender(self, name)
 
-    def tell(self, sender, gateways, messages):
+    def broadcast(self, sender, gateways, messages):
         for name in gateways:
             for message in messages:
-                self._send(self.provers[name], message, sender)
+                self._send(self.verifiers[name], message, sender)
 
     def _send(self, receiver, message, sender):
         def arrive():
@@ -80,8 +80,8 @@
     def __init__(self, peers, name):
         self.peers, self.name = peers, name
 
-    def tell_some(self, gateways, messages):
-        self.peers.tell(self.peers.provers[self.name], gateways, messages)
+    def send_to(self, gateways, messages):
+        self.peers.broadcast(self.peers.verifiers[self.name], gateways, messages)
 
 
 class Gateway:
@@ -99,15 +99,15 @@
         self.follower = KeyspaceFollower(
             "", store, self.membership, settings, timers, Random(1), log
         )
-        self.prover = ConfigurationProver(
+        self.verifier = ConfigurationVerifier(
             name, CONFIGURATION_KEY, store, self.age, BOUND, peers.of(name), timers
         )
-        peers.provers[name] = self.prover
-        self.prover.gateways = lambda: peers.provers
-        self.prover.version = lambda: self.tables.table.version
-        self.prover.on_change = self.membership.key_changed
+        peers.verifiers[name] = self.verifier
+        self.verifier.gateways = lambda: peers.verifiers
+        self.verifier.version = lambda: self.tables.table.version
+        self.verifier.on_change = self.membership.key_changed
         self.follower.start()
-        self.prover.start()
+        self.verifier.start()
 
     def serves(self, key):
         table = self.tables.table
@@ -278,7 +278,7 @@
         world = World(timers, 4)
         timers.advance(10.3)
         world.stores[number].set_down(True)
-        reader = world.gateways[0].prover._reader() or "g0"
+        reader = world.gateways[0].verifier._reader() or "g0"
         for _ in range(200):
             timers.advance(0.05)
             if reader != f"g{number}":
--- a/tests/test_crashreports.py
+++ b/tests/test_crashreports.py
@@ -11,7 +11,7 @@
 from pimentolink.httptypes import HttpRequest
 from pimentolink.logs import LogEvent
 from pimentolink.peermessages import (
-    MOST_STRUCK,
+    MAX_CRASH_FINGERPRINTS,
     SuspectCleared,
     SuspectTried,
     TargetCrashed,
@@ -45,22 +45,22 @@
         self.reports = CrashReports(self.suspects, self, self.timers, self)
         self.reports.is_listening = self.is_listening
 
-    def tell(self, message):
+    def broadcast(self, message):
         self.told.append(message)
 
     def write(self, event, **fields):
         self.lines.append((event, fields))
 
-    async def is_listening(self, belief):
+    async def is_listening(self, estimate):
         self.asked += 1
-        return belief.target.target_id in self.listening
+        return estimate.target.target_id in self.listening
 
-    def belief(self, name):
+    def estimate(self, name):
         return self.fleet.targets_by_id[name]
 
     def lose(self, name, request):
-        self.reports.cut_off(request, self.belief(name))
-        self.reports.connection_lost(self.belief(name))
+        self.reports.cut_off(request, self.estimate(name))
+        self.reports.connection_lost(self.estimate(name))
 
     def admit(self, request):
         """Admit a request; raise what keeps it from targets."""
@@ -83,7 +83,7 @@
 class TestFindingOut:
     def test_target_that_refuses_connections_has_crashed(self, world):
         world.lose("t1", asked())
-        key = world.belief("t1").target.key
+        key = world.estimate("t1").target.key
         assert world.told == [TargetCrashed(key, [FATAL])]
         event, fields = world.lines[0]
         assert event is LogEvent.TARGET_CRASHED
@@ -98,7 +98,7 @@
     def test_target_whose_entry_goes_after_the_break_has_crashed(self, world):
         world.listening.add("t1")
         world.lose("t1", asked())
-        world.reports.target_ended(world.belief("t1").target, "no longer listed")
+        world.reports.target_ended(world.estimate("t1").target, "no longer listed")
         assert len(world.crashes(asked())) == 1
 
     def test_target_that_leaves_as_announced_has_not(self, world):
@@ -106,22 +106,22 @@
         assert world.told == []
 
     def test_target_whose_entry_went_before_the_break_has_not(self, world):
-        belief = world.belief("t1")
-        belief.missing_since = 0.0
-        world.reports.cut_off(asked(), belief)
-        world.reports.target_ended(belief.target, "nothing listens")
+        estimate = world.estimate("t1")
+        estimate.missing_since = 0.0
+        world.reports.cut_off(asked(), estimate)
+        world.reports.target_ended(estimate.target, "nothing listens")
         assert world.crashes(asked()) == []
 
     def test_request_whose_caller_left_just_before_counts(self, world):
         """Its caller's impatience does not hide what it does."""
-        world.reports.cut_off(asked(), world.belief("t1"))
+        world.reports.cut_off(asked(), world.estimate("t1"))
         world.lose("t1", asked("0" * 32))
         assert len(world.crashes(asked())) == 1
 
     def test_many_breaks_at_once_ask_the_target_once(self, world):
         pending = []
 
-        async def is_listening(belief):
+        async def is_listening(estimate):
             world.asked += 1
             pending.append(Deferred())
             return await pending[-1]
@@ -132,7 +132,7 @@
         assert world.asked == 1
         pending[0].callback(False)
         sizes = [len(message.fingerprints) for message in world.told]
-        assert sizes == [MOST_STRUCK, 40 - MOST_STRUCK]
+        assert sizes == [MAX_CRASH_FINGERPRINTS, 40 - MAX_CRASH_FINGERPRINTS]
 
 
 class TestAdmission:
@@ -169,7 +169,7 @@
     def test_answer_of_a_suspect_is_told(self, world):
         self.make_suspect(world)
         world.reports.answered(asked())
-        keys = [world.belief(name).target.key for name in ("t1", "t3")]
+        keys = [world.estimate(name).target.key for name in ("t1", "t3")]
         assert world.told == [SuspectCleared(FATAL, keys)]
 
     def test_answer_after_one_crash_is_not_worth_telling(self, world):
--- a/tests/test_crossedtries.py
+++ b/tests/test_crossedtries.py
@@ -22,7 +22,7 @@
 # one, and the second does not.
 LESSER, GREATER = "0" * 32, "f" * 32
 EARLIER_CRASHES = (1, 2)
-MOST_STATES = 300_000
+MAX_STATES = 300_000
 NOW = 2 * FIRST_PAUSE
 
 ASKED, NOTICED, SENT, BROKEN, OVER = "asked", "noticed", "sent", "broken", "over"
@@ -70,7 +70,7 @@
     def __init__(self, fingerprints, is_prompt):
         self.fingerprints = fingerprints
         self.is_prompt = is_prompt
-        self.belief = fleet(target("t3")).targets_by_id["t3"]
+        self.estimate = fleet(target("t3")).targets_by_id["t3"]
         known = Suspects(LeastSpread(1))
         for key in EARLIER_CRASHES:
             known.strike(key, sorted(set(fingerprints) | {FATAL}), 0.0)
@@ -135,12 +135,12 @@
             reports.send(request)
             return SENT
         if step == "break":
-            reports.cut_off(request, self.belief)
+            reports.cut_off(request, self.estimate)
             return BROKEN
         if step == "answer":
             reports.answered(request)
             return OVER
-        reports.target_ended(self.belief.target, "nothing listens")
+        reports.target_ended(self.estimate.target, "nothing listens")
         return world.phases[number]
 
     def hear(self, world, number, place):
@@ -175,7 +175,7 @@
         protocol = make_protocol(
             "crossed tries", self.initial, self.steps, frozenset(), invariants
         )
-        result = check_safety(protocol, max_states=MOST_STATES)
+        result = check_safety(protocol, max_states=MAX_STATES)
         assert result["exhaustive"]
         return {
             name: [state["label"] for state in found["counterexample"]]
@@ -200,7 +200,7 @@
     def give_notice(self, request):
         name, request_id = request.fingerprint, request.request_id
         if self._suspects.try_again(name, request_id, NOW):
-            self._news.tell(SuspectTried(name))
+            self._news.broadcast(SuspectTried(name))
 
     def send(self, request):
         self._suspects.try_sent(request.request_id)
@@ -208,7 +208,7 @@
 
 class Told:
     def __init__(self, told):
-        self.tell = told.append
+        self.broadcast = told.append
 
 
 def reports_of(suspects, told):
--- a/tests/test_fatalrequests.py
+++ b/tests/test_fatalrequests.py
@@ -37,7 +37,7 @@
 # Seconds in which all gateways learn of the last of them.
 LEARN_TIME = 3.0
 # How often it may still be sent to targets from then on, over all gateways.
-MOST_SENT = 3
+MAX_SENT = 3
 
 
 class FatalWorld(PlatformWorld):
@@ -120,11 +120,11 @@
     def test_reaches_few_targets_once_three_have_crashed(self, world, path):
         world.crash(path)
         before = world.sent()
-        for _ in range(2 * MOST_SENT + 2):
+        for _ in range(2 * MAX_SENT + 2):
             world.ask(path)
             time.sleep(0.1)
             world.bring_back()
-        assert world.sent() - before <= MOST_SENT
+        assert world.sent() - before <= MAX_SENT
 
     def test_is_known_to_gateways_that_started_since(self, world):
         world.crash("/resume/x")
@@ -135,11 +135,11 @@
         world.fleet.settle()
         wait_until(lambda: all(world.is_ready(name) for name in GATEWAYS))
         before = world.sent()
-        for _ in range(2 * MOST_SENT + 2):
+        for _ in range(2 * MAX_SENT + 2):
             world.ask("/resume/x")
             time.sleep(0.1)
             world.bring_back()
-        assert world.sent() - before <= MOST_SENT
+        assert world.sent() - before <= MAX_SENT
 
     def test_is_found_and_released_by_an_operator(self, world):
         world.crash("/read/x")
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -3,18 +3,18 @@
 import json
 import os
 
-from pimentolink.logs import MOST_LOG_BYTES, BoundedWriter
+from pimentolink.logs import MAX_LOG_BYTES, BoundedWriter
 
 
 def test_reader_that_stops_reading_stops_nothing():
     reader, descriptor = os.pipe()
     writer = BoundedWriter(descriptor)
     line = json.dumps({"event": "answered", "padding": "x" * 200}) + "\n"
-    count = 20 * MOST_LOG_BYTES // len(line)
+    count = 20 * MAX_LOG_BYTES // len(line)
     for _ in range(count):
         writer.write(line)
     assert writer.dropped > 0
-    assert len(writer._pending) <= MOST_LOG_BYTES
+    assert len(writer._pending) <= MAX_LOG_BYTES
     os.close(reader)
     os.close(descriptor)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -98,7 +98,7 @@
     def test_target_is_used_as_soon_as_it_is_listed(self, world):
         world.store.put("servers/a", entry(phase="prefill"))
         assert world.usable() == {"a"}
-        assert world.fleet.targets_by_id["a"].target.role is EngineRole.READER
+        assert world.fleet.targets_by_id["a"].target.role is EngineRole.PREFILL
 
     def test_leaving_target_gets_no_more_work(self, world):
         world.store.put("servers/a", entry())
@@ -114,21 +114,21 @@
 
     def test_work_that_holds_on_to_a_gone_target_cannot_choose_it(self, world):
         world.store.put("servers/a", entry())
-        belief = world.fleet.targets_by_id["a"]
+        estimate = world.fleet.targets_by_id["a"]
         world.store.remove("servers/a")
         world.timers.advance(0.3)
-        assert not belief.is_usable(world.timers.now())
+        assert not estimate.is_usable(world.timers.now())
 
     def test_unreadable_entry_names_no_target_until_its_own_is_back(self, world):
         world.store.put("servers/a", entry())
         world.store.put("servers/b", entry())
         world.timers.advance(0.3)
-        belief = world.fleet.targets_by_id["a"]
+        estimate = world.fleet.targets_by_id["a"]
         world.store.put("servers/a", b"{")
         assert world.usable() == {"b"}
         world.store.put("servers/a", entry())
         assert world.usable() == {"a", "b"}
-        assert world.fleet.targets_by_id["a"] is belief
+        assert world.fleet.targets_by_id["a"] is estimate
 
     @pytest.mark.parametrize(
         "document",
@@ -168,24 +168,24 @@
     """Pattern: an engine starts again and keeps its name."""
 
     @pytest.fixture
-    def belief(self, world):
+    def estimate(self, world):
         world.store.put("servers/a", entry(phase="prefill", born=1000))
         world.timers.advance(0.3)
-        belief = world.fleet.targets_by_id["a"]
+        estimate = world.fleet.targets_by_id["a"]
         parts = (PromptPart(1, 500),)
-        belief.set_model(MODEL)
-        belief.begin_reading("t", 500, parts, world.timers.now())
-        belief.fetched(parts)
-        belief.in_flight = 3
-        belief.changing_until = 99.0
-        belief.failed(world.timers.now(), EjectionSettings(failures=1))
-        return belief
-
-    def test_later_life_is_believed_from_nothing(self, world, belief):
+        estimate.set_model(MODEL)
+        estimate.start_prefill("t", 500, parts, world.timers.now())
+        estimate.fetched(parts)
+        estimate.in_flight = 3
+        estimate.changing_until = 99.0
+        estimate.failed(world.timers.now(), EjectionSettings(failures=1))
+        return estimate
+
+    def test_later_life_is_believed_from_nothing(self, world, estimate):
         world.store.put("servers/a", entry(phase="prefill", born=1001))
         assert world.usable() == {"a"}
         later = world.fleet.targets_by_id["a"]
-        assert later is not belief
+        assert later is not estimate
         assert later.backlog(world.timers.now()) == 0
         assert later.load() == 0
         assert later.fetchable.held_tokens([PromptPart(1, 500)]) == 0
@@ -193,13 +193,15 @@
         assert not later.is_ejected(world.timers.now())
         assert world.gone == ["a"]
 
-    def test_work_that_holds_on_to_the_earlier_life_cannot_use_it(self, world, belief):
+    def test_work_that_holds_on_to_the_earlier_life_cannot_use_it(
+        self, world, estimate
+    ):
         world.store.put("servers/a", entry(phase="prefill", born=1001))
         world.timers.advance(0.3)
-        assert belief.is_replaced
-        assert not belief.is_usable(world.timers.now())
+        assert estimate.is_replaced
+        assert not estimate.is_usable(world.timers.now())
 
-    def test_late_entry_of_the_earlier_life_changes_nothing(self, world, belief):
+    def test_late_entry_of_the_earlier_life_changes_nothing(self, world, estimate):
         world.store.put("servers/a", entry(phase="prefill", born=1001))
         world.timers.advance(0.3)
         later = world.fleet.targets_by_id["a"]
@@ -207,10 +209,10 @@
         assert world.usable() == {"a"}
         assert world.fleet.targets_by_id["a"] is later
 
-    def test_same_life_keeps_what_is_believed(self, world, belief):
+    def test_same_life_keeps_what_is_believed(self, world, estimate):
         world.store.put("servers/a", entry(phase="prefill", born=1000, sequence=4))
         world.timers.advance(0.3)
-        assert world.fleet.targets_by_id["a"] is belief
+        assert world.fleet.targets_by_id["a"] is estimate
 
 
 class TestOutage:
