--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -5,22 +5,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from pimentolink.cells import MOST_GATEWAYS, Cells
+from pimentolink.cells import MAX_GATEWAYS, Cells
 from pimentolink.dialect import PromptPart
-from pimentolink.egressqueue import Uplink
+from pimentolink.egressqueue import EgressQueue
 from pimentolink.logs import Log
 from pimentolink.metrics import Metrics
 from pimentolink.peermessages import (
-    MOST_CHANGING,
+    MAX_CHANGING,
     InFlight,
-    OpenReadings,
-    ReadingBegan,
-    ReadingEnded,
+    OpenPrefills,
+    PrefillEnded,
+    PrefillStarted,
     RoleChanging,
     target_key,
 )
-from pimentolink.peers import MOST_DATAGRAM, PeerOutbox, PeerProtocol, choose_peers
-from pimentolink.peerupdates import COUNTS_LAST, PeerBook
+from pimentolink.peers import MAX_DATAGRAM, PeerOutbox, PeerProtocol, choose_peers
+from pimentolink.peerupdates import COUNTS_LAST, PeerUpdates
 from pimentolink.registration import GatewayEntry
 from pimentolink.targetestimate import EngineRole
 from pimentolink.timers import ManualTimers
@@ -48,7 +48,7 @@
 
     def __init__(self):
         self.timers = ManualTimers()
-        self.fleets = [fleet(target("e", EngineRole.WRITER)) for _ in range(2)]
+        self.fleets = [fleet(target("e", EngineRole.DECODE)) for _ in range(2)]
         self.wires = [Wire(), Wire()]
         self.peers = [
             PeerProtocol(
@@ -59,7 +59,7 @@
                 self.timers,
                 Log(instance=name),
                 Metrics(),
-                Uplink(0.0, self.timers),
+                EgressQueue(0.0, self.timers),
             )
             for name, known in zip("ab", self.fleets, strict=True)
         ]
@@ -112,9 +112,9 @@
     def test_change_at_one_of_many_targets_is_told_in_few_bytes(self, pair):
         for known in pair.fleets:
             for number in range(60):
-                known.put(target(f"engine-{number}", EngineRole.WRITER))
-        for belief in pair.fleets[0].targets_by_id.values():
-            belief.in_flight = 2
+                known.put(target(f"engine-{number}", EngineRole.DECODE))
+        for estimate in pair.fleets[0].targets_by_id.values():
+            estimate.in_flight = 2
         pair.timers.advance(0.2)
         whole = len(pair.wires[0].datagrams[-1])
         pair.engine(0).in_flight = 3
@@ -126,12 +126,12 @@
         for known in pair.fleets:
             for number in range(300):
                 known.put(target(f"engine-of-some-length-{number}"))
-        for belief in pair.fleets[0].targets_by_id.values():
-            belief.in_flight = 2
+        for estimate in pair.fleets[0].targets_by_id.values():
+            estimate.in_flight = 2
         pair.timers.advance(0.2)
-        loads = [belief.load() for belief in pair.fleets[1].targets_by_id.values()]
+        loads = [estimate.load() for estimate in pair.fleets[1].targets_by_id.values()]
         assert loads == [2] * 301
-        assert all(len(data) <= MOST_DATAGRAM for data in pair.wires[0].datagrams)
+        assert all(len(data) <= MAX_DATAGRAM for data in pair.wires[0].datagrams)
 
     def test_load_of_a_gateway_that_was_killed_is_forgotten(self, pair):
         pair.engine(0).in_flight = 3
@@ -169,17 +169,19 @@
 
 class TestReadings:
     def test_other_gateway_counts_a_reading_until_its_end(self, pair):
-        pair.peers[0].tell(ReadingBegan(1, KEY, 5000, [(1, 5000)]))
+        pair.peers[0].broadcast(PrefillStarted(1, KEY, 5000, [(1, 5000)]))
         assert pair.engine(1).backlog(pair.timers.now()) > 0
-        pair.peers[0].tell(ReadingEnded(1, KEY, True))
+        pair.peers[0].broadcast(PrefillEnded(1, KEY, True))
         assert pair.engine(1).backlog(pair.timers.now()) == 0
         assert pair.engine(1).fetchable.held_tokens([PromptPart(1, 5000)]) == 5000
 
     def test_reading_of_an_earlier_life_is_not_counted_at_a_later_one(self, pair):
         engine = pair.engine(1)
         pair.fleets[1].put(engine.target._replace(born=2))
-        pair.peers[0].tell(ReadingBegan(1, target_key("e", 1), 5000, [(1, 5000)]))
-        pair.peers[0].tell(RoleChanging("e", 60.0, 1))
+        pair.peers[0].broadcast(
+            PrefillStarted(1, target_key("e", 1), 5000, [(1, 5000)])
+        )
+        pair.peers[0].broadcast(RoleChanging("e", 60.0, 1))
         later = pair.engine(1)
         assert later.backlog(pair.timers.now()) == 0
         assert later.parts.held_tokens([PromptPart(1, 5000)]) == 0
@@ -187,7 +189,7 @@
 
     def test_counts_that_changed_go_along(self, pair):
         pair.engine(0).in_flight = 2
-        pair.peers[0].tell(ReadingBegan(1, KEY, 5000, []))
+        pair.peers[0].broadcast(PrefillStarted(1, KEY, 5000, []))
         assert len(pair.wires[0].datagrams) == 1
         assert pair.engine(1).load() == 2
 
@@ -196,75 +198,75 @@
     """Pattern: datagrams are lost on a link that is full."""
 
     def begin(self, pair, open_numbers=(1,)):
-        pair.peers[0].open_readings = lambda: OpenReadings(2, list(open_numbers))
-        pair.peers[0].tell(ReadingBegan(1, KEY, 5000, [(1, 5000)]))
+        pair.peers[0].open_prefills = lambda: OpenPrefills(2, list(open_numbers))
+        pair.peers[0].broadcast(PrefillStarted(1, KEY, 5000, [(1, 5000)]))
         assert pair.engine(1).backlog(pair.timers.now()) > 0
 
     def test_lost_end_of_a_reading_is_made_up_for_within_a_second(self, pair):
         self.begin(pair)
         pair.wires[0].other = None
-        pair.peers[0].open_readings = lambda: OpenReadings(2, [])
-        pair.peers[0].tell(ReadingEnded(1, KEY, True))
+        pair.peers[0].open_prefills = lambda: OpenPrefills(2, [])
+        pair.peers[0].broadcast(PrefillEnded(1, KEY, True))
         pair.wires[0].other = pair.peers[1]
         pair.timers.advance(1.2)
-        assert pair.engine(1).readings_by_ticket == {}
+        assert pair.engine(1).prefills_by_ticket == {}
 
     def test_open_readings_stay(self, pair):
         self.begin(pair)
         pair.timers.advance(1.2)
-        assert len(pair.engine(1).readings_by_ticket) == 1
+        assert len(pair.engine(1).prefills_by_ticket) == 1
 
     def test_reading_told_before_what_was_open_earlier_stays(self, pair):
         self.begin(pair)
-        book = PeerBook(pair.fleets[1])
+        book = PeerUpdates(pair.fleets[1])
         now = pair.timers.now()
-        book.take("l", ReadingBegan(7, KEY, 5000, []), now)
-        book.take("l", OpenReadings(7, []), now)
-        assert "l-7" in pair.engine(1).readings_by_ticket
+        book.take("l", PrefillStarted(7, KEY, 5000, []), now)
+        book.take("l", OpenPrefills(7, []), now)
+        assert "l-7" in pair.engine(1).prefills_by_ticket
 
     def test_readings_of_a_gateway_that_was_killed_are_forgotten(self, pair):
         self.begin(pair)
         pair.timers.advance(0.3)
         pair.peers[0].stop()
         pair.timers.advance(COUNTS_LAST + 0.3)
-        assert pair.engine(1).readings_by_ticket == {}
+        assert pair.engine(1).prefills_by_ticket == {}
 
     def test_readings_of_an_earlier_life_are_forgotten_at_once(self, pair):
-        book = PeerBook(pair.fleets[1])
+        book = PeerUpdates(pair.fleets[1])
         book.take("first", InFlight("g", {}, True), 0.0)
-        book.take("first", ReadingBegan(7, KEY, 5000, []), 0.0)
+        book.take("first", PrefillStarted(7, KEY, 5000, []), 0.0)
         book.take("second", InFlight("g", {}, True), 0.1)
-        assert pair.engine(1).readings_by_ticket == {}
+        assert pair.engine(1).prefills_by_ticket == {}
 
 
 class TestBusyLink:
     """Pattern: a gateway whose link is full of prompts and answers."""
 
     @pytest.fixture
-    def uplink(self, pair):
-        uplink = Uplink(5.0, pair.timers)
-        pair.peers[0]._uplink = uplink
-        return uplink
+    def egress_queue(self, pair):
+        egress_queue = EgressQueue(5.0, pair.timers)
+        pair.peers[0]._egress_queue = egress_queue
+        return egress_queue
 
-    def test_messages_wait_and_share_a_datagram(self, pair, uplink):
-        uplink.sent(20_000)
+    def test_messages_wait_and_share_a_datagram(self, pair, egress_queue):
+        egress_queue.sent(20_000)
         for number in range(4):
-            pair.peers[0].tell(ReadingBegan(number, KEY, 500, []))
+            pair.peers[0].broadcast(PrefillStarted(number, KEY, 500, []))
         assert pair.wires[0].datagrams == []
         pair.timers.advance(0.04)
         assert len(pair.wires[0].datagrams) == 1
-        assert len(pair.engine(1).readings_by_ticket) == 4
+        assert len(pair.engine(1).prefills_by_ticket) == 4
 
-    def test_they_wait_no_longer_than_told(self, pair, uplink):
-        uplink.sent(2_000_000)
-        pair.peers[0].tell(ReadingBegan(1, KEY, 500, []))
+    def test_they_wait_no_longer_than_told(self, pair, egress_queue):
+        egress_queue.sent(2_000_000)
+        pair.peers[0].broadcast(PrefillStarted(1, KEY, 500, []))
         pair.timers.advance(0.051)
         assert len(pair.wires[0].datagrams) == 1
 
     def test_reading_is_told_in_few_bytes(self, pair):
         parts = [(2**31, 2_500), (2**32, 3_800), (2**32 - 1, 2_900)]
-        pair.peers[0].tell(ReadingBegan(3_000, KEY, 4_000, parts, 0, 15))
-        pair.peers[0].tell(ReadingEnded(3_000, KEY, True))
+        pair.peers[0].broadcast(PrefillStarted(3_000, KEY, 4_000, parts, 0, 15))
+        pair.peers[0].broadcast(PrefillEnded(3_000, KEY, True))
         assert sum(len(data) for data in pair.wires[0].datagrams[-2:]) <= 100
 
 
@@ -277,7 +279,7 @@
             for number in range(count)
         }
 
-    def chosen(self, name, entries, most=MOST_GATEWAYS):
+    def chosen(self, name, entries, most=MAX_GATEWAYS):
         cells = Cells(most)
         cells.divide({other: entry.data_centre for other, entry in entries.items()})
         cell = cells.of(name, entries[name].data_centre)
@@ -292,7 +294,7 @@
     def test_number_told_does_not_grow_with_the_deployment(self):
         for count in (150, 300, 1_000):
             chosen = self.chosen("g0", self.entries(count))
-            assert len(chosen) <= 1.2 * MOST_GATEWAYS
+            assert len(chosen) <= 1.2 * MAX_GATEWAYS
 
     def test_own_data_centre_is_told_whole(self):
         entries = self.entries(300)
@@ -312,15 +314,15 @@
         outbox = PeerOutbox("life")
         for number in range(100):
             parts = [(number, 1)] * (number % 40)
-            assert outbox.add(ReadingBegan(number, KEY, 1, parts))
+            assert outbox.add(PrefillStarted(number, KEY, 1, parts))
         datagrams = outbox.take()
         assert len(datagrams) > 1
-        assert all(len(datagram) <= MOST_DATAGRAM for datagram in datagrams)
+        assert all(len(datagram) <= MAX_DATAGRAM for datagram in datagrams)
         assert outbox.take() == []
 
     def test_message_that_fits_into_no_datagram_is_not_taken(self):
         outbox = PeerOutbox("life")
-        assert not outbox.add(ReadingBegan(1, KEY, 1, [(1, 1)] * MOST_DATAGRAM))
+        assert not outbox.add(PrefillStarted(1, KEY, 1, [(1, 1)] * MAX_DATAGRAM))
         assert outbox.take() == []
 
 
@@ -361,4 +363,4 @@
         assert engine.backlog(0.0) >= 0
         assert engine.load() >= 0
         assert 0 < engine.work_time(1000) < 1000
-        assert engine.is_usable(MOST_CHANGING)
+        assert engine.is_usable(MAX_CHANGING)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from pimentolink.egressqueue import Uplink
+from pimentolink.egressqueue import EgressQueue
 from pimentolink.errors import CannotBeInTime, NoTarget
-from pimentolink.gatewaydelay import OwnDelay
+from pimentolink.gatewaydelay import GatewayDelay
 from pimentolink.gatewaysettings import PlacementSettings
 from pimentolink.placement import Placer
-from pimentolink.prefillqueue import ReadingQueue
+from pimentolink.prefillqueue import PrefillQueue
 from pimentolink.targetestimate import EngineRole
 from pimentolink.timers import ManualTimers
 from tests.gatewayparts import (
@@ -29,10 +29,10 @@
     placed = []
     while (chosen := queue.next(now)) is not None:
         waiting, placement = chosen
-        placement.belief.begin_reading(
+        placement.estimate.start_prefill(
             waiting.request_id, placement.tokens, waiting.parts, now
         )
-        placed.append((waiting.request_id, placement.belief.target.target_id))
+        placed.append((waiting.request_id, placement.estimate.target.target_id))
     return placed
 
 
@@ -53,11 +53,11 @@
         queue = queue_over(found, depth=10.0)
         queue.add(prompt("first", 500, SHARED), 0.0)
         ((_, home),) = place_all(queue, found)
-        found.targets_by_id[home].end_reading("first", True, 0.0)
-        found.targets_by_id[home].begin_reading("long", 30_000, (), 0.0)
+        found.targets_by_id[home].end_prefill("first", True, 0.0)
+        found.targets_by_id[home].start_prefill("long", 30_000, (), 0.0)
         assert queue.add(prompt("second", 500, SHARED), 0.0) is None
         _, placement = queue.next(0.0)
-        assert placement.belief.target.target_id != home
+        assert placement.estimate.target.target_id != home
         assert placement.copied_tokens == 8_000
         assert placement.tokens == 500
         assert placement.copy_from == found.targets_by_id[home].target.address
@@ -70,7 +70,7 @@
         found = fleet(*engines(1, 1))
         queue = queue_over(found)
         found.targets_by_id["writer-0"].changing_until = 99.0
-        found.put(target("idle-writer", EngineRole.WRITER, slots=64))
+        found.put(target("idle-writer", EngineRole.DECODE, slots=64))
         outcomes = [queue.add(prompt(f"p{n}", 4_000), 0.0) for n in range(12)]
         refused = [item for item in outcomes if item is not None]
         assert refused
@@ -81,16 +81,16 @@
     def test_what_waits_at_other_gateways_counts(self):
         found = fleet(*engines(2, 1))
         queue = queue_over(found)
-        found.told_waiting("other", {"s": 12.0})
+        found.update_waiting("other", {"s": 12.0})
         refused = queue.add(prompt("p", 4_000), 0.0)
         assert isinstance(refused, CannotBeInTime)
-        found.told_waiting("other", {"s": 0.3})
+        found.update_waiting("other", {"s": 0.3})
         assert queue.add(prompt("p", 4_000), 0.0) is None
 
     def test_work_ahead_is_shared_by_all_engines_of_a_large_service(self):
         found = fleet(*engines(400, 20))
         queue = queue_over(found)
-        found.told_waiting("other", {"s": 200.0})
+        found.update_waiting("other", {"s": 200.0})
         assert queue.add(prompt("p", 4_000), 0.0) is None
 
     def test_idle_engines_turn_nothing_away_that_can_be_on_time(self):
@@ -155,9 +155,9 @@
     def queue(self, found):
         settings = PlacementSettings(late_factor=999.0)
         self.placer = CountingPlacer(
-            settings, found, "north", Uplink(0.0, ManualTimers()), OwnDelay()
+            settings, found, "north", EgressQueue(0.0, ManualTimers()), GatewayDelay()
         )
-        queue = ReadingQueue(settings, self.placer)
+        queue = PrefillQueue(settings, self.placer)
         for number in range(self.WAITING):
             waiting = prompt(f"p{number}", 100 + number, patience=900.0)
             assert queue.add(waiting, 0.0) is None
@@ -177,8 +177,8 @@
     def test_full_engines_cost_nothing(self):
         found = fleet(*engines(2, 1))
         queue = self.queue(found)
-        for belief in found.of_service("s"):
-            belief.begin_reading("r", 50_000, (), 0.0)
+        for estimate in found.of_service("s"):
+            estimate.start_prefill("r", 50_000, (), 0.0)
         self.placer.predictions = 0
         assert queue.next(0.0) is None
         assert self.placer.predictions == 0
@@ -186,8 +186,8 @@
     def test_hopeless_ones_are_found_in_turn(self):
         found = fleet(*engines(2, 1))
         queue = self.queue(found)
-        for belief in found.of_service("s"):
-            belief.begin_reading("r", 50_000_000, (), 0.0)
+        for estimate in found.of_service("s"):
+            estimate.start_prefill("r", 50_000_000, (), 0.0)
         self.placer.predictions = 0
         looks = 0
         while len(queue):
@@ -199,8 +199,8 @@
     def test_all_are_given_up_at_once_when_no_engine_is_left(self):
         found = fleet(*engines(2, 1))
         queue = self.queue(found)
-        for belief in found.of_service("s"):
-            belief.missing_since = 0.0
+        for estimate in found.of_service("s"):
+            estimate.missing_since = 0.0
         assert len(queue.hopeless(0.0)) == self.WAITING
         assert len(queue) == 0
 
@@ -214,14 +214,14 @@
         for number in range(8):
             tokens = 1_000 * (1 + number % 4)
             sent_at = 10.0 * number
-            reader.begin_reading(f"r{number}", tokens, (), sent_at, way=0.2)
-            reader.end_reading(f"r{number}", True, sent_at + 0.2 + tokens / 10_000)
+            reader.start_prefill(f"r{number}", tokens, (), sent_at, way=0.2)
+            reader.end_prefill(f"r{number}", True, sent_at + 0.2 + tokens / 10_000)
         assert reader.work_time(2_000) == pytest.approx(0.2, rel=0.01)
 
     def test_prompt_on_its_way_keeps_no_engine_busy(self):
         found = fleet(*engines(1, 1))
         reader = found.targets_by_id["reader-0"]
-        reader.begin_reading("r", 1_000, (), 0.0, way=0.5)
+        reader.start_prefill("r", 1_000, (), 0.0, way=0.5)
         assert reader.backlog(0.0) == pytest.approx(reader.work_time(1_000))
         assert reader.backlog(0.5) == pytest.approx(reader.work_time(1_000))
         assert reader.backlog(0.55) < reader.work_time(1_000)
@@ -229,12 +229,12 @@
     def test_prompt_that_the_link_makes_late_is_turned_away_at_once(self):
         found = fleet(*engines(2, 2))
         timers = ManualTimers()
-        uplink = Uplink(5.0, timers)
+        egress_queue = EgressQueue(5.0, timers)
         settings = PlacementSettings()
-        placer = Placer(settings, found, "north", uplink, OwnDelay())
-        queue = ReadingQueue(settings, placer)
+        placer = Placer(settings, found, "north", egress_queue, GatewayDelay())
+        queue = PrefillQueue(settings, placer)
         assert queue.add(prompt("first")._replace(body_bytes=9_000), 0.0) is None
-        uplink.sent(600_000)
+        egress_queue.sent(600_000)
         refused = queue.add(prompt("second")._replace(body_bytes=9_000), 0.0)
         assert isinstance(refused, CannotBeInTime)
 
@@ -242,15 +242,15 @@
         found = fleet(*engines(2, 2))
         settings = PlacementSettings()
         waiting = prompt("p", 500)._replace(body_bytes=90_000)
-        for megabits, role in ((200.0, EngineRole.READER), (5.0, EngineRole.WRITER)):
+        for megabits, role in ((200.0, EngineRole.PREFILL), (5.0, EngineRole.DECODE)):
             placer = placer_over(found, settings, megabits)
-            assert placer.best(waiting, 0.0).belief.target.role is role
+            assert placer.best(waiting, 0.0).estimate.target.role is role
 
     def test_delay_of_this_gateway_is_expected_but_no_time_of_the_engine(self):
         found = fleet(*engines(1, 1))
-        own_delay = OwnDelay()
-        uplink = Uplink(0.0, ManualTimers())
-        placer = Placer(PlacementSettings(), found, "north", uplink, own_delay)
+        own_delay = GatewayDelay()
+        egress_queue = EgressQueue(0.0, ManualTimers())
+        placer = Placer(PlacementSettings(), found, "north", egress_queue, own_delay)
         before = placer.best(prompt("p"), 0.0)
         for _ in range(98):
             own_delay.learn(0.05, 0.0)
@@ -265,9 +265,9 @@
         for number in range(400):
             reader = found.targets_by_id[f"reader-{number % 2}"]
             begun = 10.0 * number
-            reader.begin_reading(f"r{number}", 4_000, (), begun)
+            reader.start_prefill(f"r{number}", 4_000, (), begun)
             took = usual + (random.expovariate(2.0) if random.random() < 0.6 else 0.0)
-            reader.end_reading(f"r{number}", True, begun + took)
+            reader.end_prefill(f"r{number}", True, begun + took)
         assert reader.work_time(4_000) < 1.5 * usual
 
     def test_engine_that_turned_slow_is_told_from_the_others(self):
@@ -277,8 +277,8 @@
         for number in range(60):
             for reader, times in zip(readers, (5, 1, 1), strict=True):
                 begun = 10.0 * number
-                reader.begin_reading(f"r{number}", 4_000, (), begun)
-                reader.end_reading(f"r{number}", True, begun + times * usual)
+                reader.start_prefill(f"r{number}", 4_000, (), begun)
+                reader.end_prefill(f"r{number}", True, begun + times * usual)
         assert readers[0].work_time(4_000) > 3 * usual
         assert 0.7 * usual < readers[1].work_time(4_000) < 1.4 * usual
 
@@ -292,16 +292,16 @@
     def test_busy_writer_is_spared_from_reading(self):
         found = fleet(*engines(1, 1))
         found.targets_by_id["writer-0"].in_flight = 20
-        found.targets_by_id["reader-0"].begin_reading("r", 4_000, (), 0.0)
+        found.targets_by_id["reader-0"].start_prefill("r", 4_000, (), 0.0)
         queue = queue_over(found, late_factor=9.0)
         queue.add(prompt("p", 2_000), 0.0)
         placement = queue._placer.best(prompt("p", 2_000), 0.0)
-        assert placement.belief.target.target_id == "reader-0"
+        assert placement.estimate.target.target_id == "reader-0"
 
     def test_answer_is_written_near_its_reader_unless_busy_there(self):
         found = fleet(
-            target("here", EngineRole.WRITER),
-            target("there", EngineRole.WRITER, data_centre="south"),
+            target("here", EngineRole.DECODE),
+            target("there", EngineRole.DECODE, data_centre="south"),
         )
         placer = queue_over(found)._placer
         assert placer.writer("s", "south", 0.0).target.target_id == "there"
@@ -314,13 +314,13 @@
         found = fleet(*engines(2, 1))
         slow = found.targets_by_id["reader-0"]
         for _ in range(30):
-            slow.begin_reading("r", 1_000, (), 0.0)
-            slow.end_reading("r", True, 0.5)
+            slow.start_prefill("r", 1_000, (), 0.0)
+            slow.end_prefill("r", True, 0.5)
             slow._last_end = 0.0
         queue = queue_over(found)
         queue.add(prompt("p"), 0.0)
         _, placement = queue.next(0.0)
-        assert placement.belief.target.target_id != "reader-0"
+        assert placement.estimate.target.target_id != "reader-0"
 
     def test_leaving_missing_and_changing_engines_get_nothing(self):
         found = fleet(*engines(3, 1))
@@ -333,9 +333,9 @@
 
     def test_bad_news_about_all_ejects_no_more_than_half(self):
         found = fleet(*engines(4, 0))
-        for belief in found.of_service("s"):
+        for estimate in found.of_service("s"):
             for _ in range(3):
-                found.failed(belief, 0.0)
+                found.failed(estimate, 0.0)
         assert len(found.usable("s", 0.1)) == 4
 
     def test_only_writer_is_used_though_it_failed(self):
@@ -347,20 +347,20 @@
 
     def test_failures_that_a_freeze_explains_are_forgiven(self):
         found = fleet(*engines(4, 0))
-        belief = found.targets_by_id["reader-0"]
+        estimate = found.targets_by_id["reader-0"]
         for _ in range(3):
-            found.failed(belief, 0.0)
+            found.failed(estimate, 0.0)
         found.forgive(0.1)
         assert len(found.usable("s", 0.2)) == 4
-        assert not any(found.failed(belief, 0.5) for _ in range(5))
+        assert not any(found.failed(estimate, 0.5) for _ in range(5))
         assert len(found.usable("s", 0.6)) == 4
-        assert any(found.failed(belief, 2.0) for _ in range(3))
+        assert any(found.failed(estimate, 2.0) for _ in range(3))
 
     def test_ejected_engine_returns(self):
         found = fleet(*engines(4, 0))
-        belief = found.targets_by_id["reader-0"]
-        found.failed(belief, 0.0)
-        assert found.failed(belief, 0.0)
+        estimate = found.targets_by_id["reader-0"]
+        found.failed(estimate, 0.0)
+        assert found.failed(estimate, 0.0)
         assert len(found.usable("s", 0.1)) == 3
         assert len(found.usable("s", 1.1)) == 4
 
@@ -368,17 +368,19 @@
 @pytest.mark.parametrize("count", [1, 3])
 def test_backlog_is_the_work_of_all_readings(count):
     found = fleet(*engines(1, 0))
-    belief = found.targets_by_id["reader-0"]
+    estimate = found.targets_by_id["reader-0"]
     for number in range(count):
-        belief.begin_reading(str(number), 1_000, (), 0.0)
-    assert belief.backlog(0.0) == pytest.approx(count * belief.work_time(1_000))
-    belief.end_reading("0", True, 0.0)
-    assert belief.backlog(0.0) == pytest.approx((count - 1) * belief.work_time(1_000))
+        estimate.start_prefill(str(number), 1_000, (), 0.0)
+    assert estimate.backlog(0.0) == pytest.approx(count * estimate.work_time(1_000))
+    estimate.end_prefill("0", True, 0.0)
+    assert estimate.backlog(0.0) == pytest.approx(
+        (count - 1) * estimate.work_time(1_000)
+    )
 
 
 def test_reading_whose_end_was_never_told_is_forgotten():
     found = fleet(*engines(1, 0))
-    belief = found.targets_by_id["reader-0"]
-    belief.begin_reading("lost", 1_000, (), 0.0)
-    assert belief.backlog(1.0) > 0
-    assert belief.backlog(9.0) == 0
+    estimate = found.targets_by_id["reader-0"]
+    estimate.start_prefill("lost", 1_000, (), 0.0)
+    assert estimate.backlog(1.0) > 0
+    assert estimate.backlog(9.0) == 0
--- a/tests/test_platform_dialect.py
+++ b/tests/test_platform_dialect.py
@@ -10,7 +10,7 @@
 from pimentolink.dialect import PromptPart, Sending
 from pimentolink.errors import InvalidRequest, ReplyInvalid
 from pimentolink.httptypes import HttpReply, HttpRequest, ReplyHead
-from pimentolink.peermessages import ReadingBegan
+from pimentolink.peermessages import PrefillStarted
 from pimentolink.peers import PeerOutbox
 from pimentolink.platform.dialect import (
     DEADLINE,
@@ -105,7 +105,7 @@
         asked = found.ok_value
         assert asked.prompt_tokens >= 0
         assert all(part.tokens >= 0 for part in asked.parts)
-        message = ReadingBegan(1, 2, asked.prompt_tokens, parts_of(asked.parts))
+        message = PrefillStarted(1, 2, asked.prompt_tokens, parts_of(asked.parts))
         assert PeerOutbox("life").add(message)
         PlatformDialect().sending(asked, Sending("e", asked.patience))
 
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -91,10 +91,10 @@
         target = PlatformDocuments().read_target(
             "servers/e", msgspec.json.encode(TARGET)
         )
-        belief = fleet.put(target.unwrap())
+        estimate = fleet.put(target.unwrap())
         for service in table.services_by_name.values():
-            belief.set_model(service.engine)
-            assert belief.copy_time(1000) >= 0
+            estimate.set_model(service.engine)
+            assert estimate.copy_time(1000) >= 0
 
 
 class TestTarget:
--- a/tests/test_prefillscheduler.py
+++ b/tests/test_prefillscheduler.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from pimentolink.gatewaydelay import OwnDelay
+from pimentolink.gatewaydelay import GatewayDelay
 from pimentolink.logs import Log
-from pimentolink.peermessages import OpenReadings
-from pimentolink.prefillscheduler import Readings
+from pimentolink.peermessages import OpenPrefills
+from pimentolink.prefillscheduler import PrefillScheduler
 from pimentolink.timers import ManualTimers
 from tests.gatewayparts import engines, fleet, prompt, queue_over
 
@@ -16,7 +16,7 @@
     def __init__(self):
         self.messages = []
 
-    def tell(self, message):
+    def broadcast(self, message):
         self.messages.append(message)
 
 
@@ -25,10 +25,10 @@
 
     def __init__(self, is_timed):
         self.timers = ManualTimers()
-        self.own_delay = OwnDelay()
+        self.own_delay = GatewayDelay()
         self.news = News()
         queue = queue_over(fleet(*engines(2, 1), is_timed=is_timed))
-        self.readings = Readings(
+        self.readings = PrefillScheduler(
             queue, self.news, self.timers, Log(), "life", self.own_delay
         )
 
@@ -69,6 +69,6 @@
     def test_reading_is_open_until_its_end(self, is_good):
         world = World(is_timed=True)
         ticket = world.begin("first")
-        assert world.readings.open_readings() == OpenReadings(1, [0])
+        assert world.readings.open_prefills() == OpenPrefills(1, [0])
         world.readings.end(ticket, is_good)
-        assert world.readings.open_readings() == OpenReadings(1, [])
+        assert world.readings.open_prefills() == OpenPrefills(1, [])
--- a/tests/test_rolebalance.py
+++ b/tests/test_rolebalance.py
@@ -19,20 +19,20 @@
         writers = [
             engine
             for engine in found.of_service("s")
-            if engine.target.role is EngineRole.WRITER
+            if engine.target.role is EngineRole.DECODE
         ]
         for engine in writers:
             engine.in_flight = round(streams_at(second) / max(1, len(writers)))
-            engine.readings_by_ticket.clear()
+            engine.prefills_by_ticket.clear()
             for number in range(readings_at(second) if readings_at else 0):
-                engine.begin_reading(f"r{number}", 4_000, (), float(second))
+                engine.start_prefill(f"r{number}", 4_000, (), float(second))
                 engine.in_flight += 1
-        balancer.unmet_reading = lambda service, second=second: unmet_at(second)
+        balancer.unmet_prefill = lambda service, second=second: unmet_at(second)
         balancer.observe("s", float(second))
         change = balancer.decide("s", float(second))
         if change is not None:
             changes.append((second, change.role))
-            found.put(change.belief.target._replace(role=change.role))
+            found.put(change.estimate.target._replace(role=change.role))
             balancer.begun("s", float(second))
     return changes
 
@@ -41,12 +41,12 @@
     def test_writers_become_readers_before_the_first_load_but_for_two(self):
         found = fleet(*engines(2, 3))
         changes = replay(found, lambda second: 0, 20)
-        assert [role for _, role in changes] == [EngineRole.READER]
+        assert [role for _, role in changes] == [EngineRole.PREFILL]
 
     def test_prompts_turned_away_make_readers_of_writers_with_few_answers(self):
         found = fleet(*engines(2, 4))
         changes = replay(found, lambda second: 10, 20, lambda second: 1.5)
-        assert [role for _, role in changes] == [EngineRole.READER] * 2
+        assert [role for _, role in changes] == [EngineRole.PREFILL] * 2
 
     def test_writers_that_are_needed_stay_while_prompts_are_turned_away(self):
         found = fleet(*engines(2, 4))
@@ -57,7 +57,7 @@
         found = fleet(*engines(9, 18))
         replay(found, lambda second: 30, 120, lambda second: 4.0)
         roles = [engine.target.role for engine in found.of_service("s")]
-        assert roles.count(EngineRole.WRITER) == 6
+        assert roles.count(EngineRole.DECODE) == 6
 
     def test_writers_stay_in_each_data_centre(self):
         targets = engines(0, 5)
@@ -72,7 +72,7 @@
         writers = [
             engine.target.data_centre
             for engine in found.of_service("s")
-            if engine.target.role is EngineRole.WRITER
+            if engine.target.role is EngineRole.DECODE
         ]
         assert sorted(writers) == ["north", "south"]
 
@@ -81,13 +81,13 @@
     def test_lasting_load_makes_readers_write(self):
         found = fleet(*engines(3, 2))
         changes = replay(found, lambda second: 220, 30)
-        assert [role for _, role in changes] == [EngineRole.WRITER] * 2
+        assert [role for _, role in changes] == [EngineRole.DECODE] * 2
 
     def test_no_more_than_what_answers_need(self):
         found = fleet(*engines(8, 2))
         replay(found, lambda second: 180, 120)
         roles = [engine.target.role for engine in found.of_service("s")]
-        assert roles.count(EngineRole.WRITER) <= 4
+        assert roles.count(EngineRole.DECODE) <= 4
 
 
 class TestIdleReaders:
@@ -96,16 +96,16 @@
     def changed_after(self, busy_share):
         found = fleet(*engines(17, 5))
         balancer = RoleBalancer(RoleSettings(), found)
-        readers = [item for item in found.of_service("s") if not item.is_writer]
+        readers = [item for item in found.of_service("s") if not item.is_decode_engine]
         ordered = 0
         for second in range(20):
             now = float(second)
             for number, reader in enumerate(readers):
-                reader.readings_by_ticket.clear()
+                reader.prefills_by_ticket.clear()
                 if number < busy_share * len(readers):
-                    reader.begin_reading("r", 90_000, (), now)
+                    reader.start_prefill("r", 90_000, (), now)
             for writer in found.of_service("s"):
-                if writer.is_writer:
+                if writer.is_decode_engine:
                     writer.in_flight = 10 if second < 10 else 80
             balancer.observe("s", now)
             ordered += len(balancer.decide_all("s", now))
@@ -132,7 +132,7 @@
             lambda second: 0.0 if second < 10 else 2.0,
             lambda second: 0 if second < 10 else 60,
         )
-        assert [role for _, role in changes if role is EngineRole.WRITER] == []
+        assert [role for _, role in changes if role is EngineRole.DECODE] == []
 
 
 class TestSwings:
@@ -156,7 +156,7 @@
         balancer = RoleBalancer(RoleSettings(), found)
         balancer.observe("s", 0.0)
         first = balancer.decide("s", 0.0)
-        first.belief.changing_until = 5.0
+        first.estimate.changing_until = 5.0
         assert balancer.decide("s", 3.0) is None
         assert balancer.decide("s", 5.1) is not None
 
@@ -168,10 +168,10 @@
             balancer.observe("s", float(second))
             change = balancer.decide("s", float(second))
             if change is not None:
-                change.belief.changing_until = second + 100.0
+                change.estimate.changing_until = second + 100.0
                 balancer.begun("s", float(second))
                 balancer.accepted("s", change)
-                ordered.append(change.belief.target.target_id)
+                ordered.append(change.estimate.target.target_id)
         assert len(ordered) == len(set(ordered)) == 5
 
     def test_a_large_fleet_is_changed_in_few_rounds(self):
@@ -179,16 +179,16 @@
         balancer = RoleBalancer(RoleSettings(), found)
         balancer.observe("s", 0.0)
         changes = balancer.decide_all("s", 0.0)
-        names = {change.belief.target.target_id for change in changes}
+        names = {change.estimate.target.target_id for change in changes}
         assert len(names) == len(changes) == 9
-        assert {change.role for change in changes} == {EngineRole.READER}
+        assert {change.role for change in changes} == {EngineRole.PREFILL}
 
     def test_a_round_goes_no_further_than_regret_pays_for(self):
         found = fleet(*engines(4, 20))
         balancer = RoleBalancer(RoleSettings(), found)
         for engine in found.of_service("s"):
             engine.in_flight = 1
-        balancer.unmet_reading = lambda service: 7.0
+        balancer.unmet_prefill = lambda service: 7.0
         balancer.observe("s", 0.0)
         balancer.observe("s", 2.0)
         assert len(balancer.decide_all("s", 2.0)) == 2
--- a/tests/test_rolecontroller.py
+++ b/tests/test_rolecontroller.py
@@ -13,7 +13,7 @@
 from pimentolink.memorykeyspace import MemoryKeyspace
 from pimentolink.platform.dialect import PlatformDialect
 from pimentolink.rolebalance import RoleBalancer
-from pimentolink.rolecontroller import IN_DOUBT, OrderHolder
+from pimentolink.rolecontroller import IN_DOUBT, RoleController
 from pimentolink.targetestimate import EngineRole
 from pimentolink.timers import ManualTimers
 from tests.gatewayparts import engines, fleet, gateway_settings
@@ -33,8 +33,8 @@
         self.born = 0
         self.fleets = []
 
-    async def send(self, belief, message):
-        name = belief.target.target_id
+    async def send(self, estimate, message):
+        name = estimate.target.target_id
         if message.path == b"/report":
             sequence = self.accepted.get(name, 0)
             phase = self.phases.get(name, "decode")
@@ -53,7 +53,7 @@
     def _list(self, name):
         for found in self.fleets:
             known = found.targets_by_id[name].target
-            found.put(known._replace(role=EngineRole.READER))
+            found.put(known._replace(role=EngineRole.PREFILL))
 
 
 class Late(list):
@@ -64,7 +64,7 @@
 
 
 class News:
-    def tell(self, message):
+    def broadcast(self, message):
         pass
 
 
@@ -89,7 +89,7 @@
             Random(len(self.holders)),
             Log(),
         )
-        holder = OrderHolder(
+        holder = RoleController(
             leadership,
             RoleBalancer(settings.roles, found),
             found,
--- a/tests/test_specs.py
+++ b/tests/test_specs.py
@@ -5,7 +5,7 @@
 
 from specs import attempts, authority, claims, holder, revocation, versions
 
-MOST_STATES = 3_000_000
+MAX_STATES = 3_000_000
 SPECIFICATIONS = [attempts, authority, claims, holder, revocation, versions]
 GUARDS = [
     (specification, guard)
@@ -15,7 +15,7 @@
 
 
 def refuted(protocol):
-    result = check_safety(protocol, max_states=MOST_STATES)
+    result = check_safety(protocol, max_states=MAX_STATES)
     assert result["exhaustive"]
     properties = result["properties"].items()
     return [name for name, found in properties if not found["holds"]]
--- a/tests/test_stalldetector.py
+++ b/tests/test_stalldetector.py
@@ -3,7 +3,7 @@
 import pytest
 
 from pimentolink.logs import Log
-from pimentolink.stalldetector import FreezeWatch
+from pimentolink.stalldetector import StallDetector
 from pimentolink.timers import ManualTimers
 
 
@@ -27,7 +27,7 @@
 @pytest.fixture
 def thawed(timers):
     found = []
-    watch = FreezeWatch(timers, Log(), lambda: found.append(timers.now()))
+    watch = StallDetector(timers, Log(), lambda: found.append(timers.now()))
     watch.start()
     timers.advance(1.0)
     return found
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -8,9 +8,9 @@
 
 from pimentolink.errors import Quarantined
 from pimentolink.suspects import (
-    MOST_BROKEN,
-    MOST_STRUCK_ONCE,
-    MOST_SUSPECTS,
+    MAX_BROKEN,
+    MAX_STRUCK_ONCE,
+    MAX_SUSPECTS,
     PAUSE_SPREAD,
     SUCCESS_KEEP,
     TRY_TIME,
@@ -284,27 +284,27 @@
     def test_mass_of_innocents_does_not_push_suspects_out(self, suspects):
         for target in (1, 2, 3):
             crash(suspects, target, 0.0, FATAL)
-        for number in range(2 * MOST_STRUCK_ONCE):
+        for number in range(2 * MAX_STRUCK_ONCE):
             suspects.strike(4, [f"{number:032x}"], 1.0)
         assert suspects.refusal(FATAL, "a", 1.0) is not None
         (stored,) = [item for item in suspects.unstored(1, 1.0) if item.target == 4]
-        assert len(stored.fingerprints) == MOST_STRUCK_ONCE
+        assert len(stored.fingerprints) == MAX_STRUCK_ONCE
 
     def test_what_a_target_that_lives_on_cuts_off_is_forgotten(self, suspects):
         """Callers that leave cut exchanges off all day, at targets that never end."""
-        for number in range(3 * MOST_BROKEN):
+        for number in range(3 * MAX_BROKEN):
             suspects.broke(f"{number:032x}", "", 1, 0.001 * number)
-        assert len(suspects.ended(1, 0.001 * number)) <= MOST_BROKEN
+        assert len(suspects.ended(1, 0.001 * number)) <= MAX_BROKEN
         for number in range(100):
             suspects.broke(f"{number:032x}", "", 2, 10.0 * number)
         assert sum(len(item) for item in suspects._broken_by_target.values()) <= 2
 
     def test_suspects_are_bounded(self, suspects):
-        for number in range(MOST_SUSPECTS + 10):
+        for number in range(MAX_SUSPECTS + 10):
             for target in (1, 2):
                 suspects.strike(target, [f"{number:032x}"], 0.0)
         for crash_ in suspects.unstored(2, 0.0):
-            assert len(crash_.fingerprints) == MOST_SUSPECTS
+            assert len(crash_.fingerprints) == MAX_SUSPECTS
 
     @given(
         st.lists(
--- a/tests/test_suspectstore.py
+++ b/tests/test_suspectstore.py
@@ -15,7 +15,7 @@
     GATHER,
     HEARD_SPREAD,
     HEARD_WAIT,
-    MOST_NEWS,
+    MAX_NEWS,
     SUSPECT_PREFIX,
     SuspectStore,
 )
@@ -46,7 +46,7 @@
         self.reports.on_struck = self.store.struck
         self.reports.on_cleared = self.store.cleared
 
-    def tell(self, message):
+    def broadcast(self, message):
         pass
 
     def write(self, event, **fields):
@@ -205,14 +205,14 @@
     def test_while_the_store_is_away_is_bounded_and_written_later(self, world):
         part = world.part("g1")
         world.keyspace.is_down = True
-        for number in range(2 * MOST_NEWS):
+        for number in range(2 * MAX_NEWS):
             part.store.cleared(SuspectCleared(f"{number:032x}", [1]))
         world.timers.advance(5.0)
         world.keyspace.is_down = False
         world.timers.advance(5.0)
         later = world.part("g2")
         later.read()
-        newest = f"{2 * MOST_NEWS - 1:032x}"
+        newest = f"{2 * MAX_NEWS - 1:032x}"
         assert later.suspects.strike(1, [newest], 0.0) == []
         assert world.keyspace.revision == 1
 
--- a/tests/test_targethttp.py
+++ b/tests/test_targethttp.py
@@ -157,10 +157,10 @@
     return connection
 
 
-def acquire(pool, most_idle=None):
+def acquire(pool, max_idle=None):
     """Ask for a connection; ``None`` while one is being opened."""
     outcome = []
-    pending = Deferred.fromCoroutine(pool.acquire(most_idle))
+    pending = Deferred.fromCoroutine(pool.acquire(max_idle))
     pending.addBoth(outcome.append)
     return outcome[0] if outcome else None
 
@@ -183,14 +183,14 @@
         pool = make_pool(timers)
         connection = used_connection(pool, timers)
         timers.advance(1.5)
-        assert acquire(pool, most_idle=1.0) is None
+        assert acquire(pool, max_idle=1.0) is None
         assert acquire(pool) is connection
 
     def test_old_connection_is_used_once_at_the_bound(self, timers):
         pool = make_pool(timers, most=1)
         connection = used_connection(pool, timers)
         timers.advance(1.5)
-        assert acquire(pool, most_idle=1.0) is connection
+        assert acquire(pool, max_idle=1.0) is connection
 
     def test_bound_without_an_idle_connection_is_told(self, timers):
         pool = make_pool(timers, most=1)
--- a/tests/test_usagereporter.py
+++ b/tests/test_usagereporter.py
@@ -67,10 +67,10 @@
         self.on_usage = lambda life, message: None
         bus.hearers[name] = self
 
-    def tell(self, message):
-        self.tell_some(list(self.bus.hearers), [message])
+    def broadcast(self, message):
+        self.send_to(list(self.bus.hearers), [message])
 
-    def tell_some(self, names, messages):
+    def send_to(self, names, messages):
         for name in names:
             if name != self.name:
                 for message in messages:
@@ -111,7 +111,7 @@
             self.clock,
             Log(),
         )
-        self.metering.teller.gateways = lambda: world.gateways_by_name
+        self.metering.publisher.gateways = lambda: world.gateways_by_name
         self.is_alive = True
         for key in (LEADER_KEY, USAGE_KEY):
             found = world.store._items_by_key.get(key)
@@ -159,7 +159,7 @@
         self.is_alive = False
         self.leadership._running.cancel()
         self.metering.reporter.stop()
-        for repeater in self.metering.teller._repeaters:
+        for repeater in self.metering.publisher._repeaters:
             repeater.cancel()
         self.world.bus.hearers.pop(self.name, None)
         self.world.gateways_by_name.pop(self.name, None)
--- a/tools/enginemodel.py
+++ b/tools/enginemodel.py
@@ -7,7 +7,7 @@
 
 from pimentolink.dialect import PromptPart
 from pimentolink.errors import ConnectionBroken, NotListening
-from pimentolink.prefixcache import PartMemory
+from pimentolink.prefixcache import PrefixCacheEstimate
 from pimentolink.targetestimate import EngineRole
 from pimentolink.timers import Timers
 
@@ -70,11 +70,11 @@
         """Begin a new life, which holds nothing of the one before."""
         self.born += 1
         self.is_lost = False
-        self._held = PartMemory(self.name)
-        self._held.most_tokens = self.figures.cache_tokens
+        self._held = PrefixCacheEstimate(self.name)
+        self._held.capacity_tokens = self.figures.cache_tokens
         # What it will hold once all is read that was sent here.
-        self._planned = PartMemory(self.name)
-        self._planned.most_tokens = self.figures.cache_tokens
+        self._planned = PrefixCacheEstimate(self.name)
+        self._planned.capacity_tokens = self.figures.cache_tokens
         self._reading_until = 0.0
 
     def lose(self) -> None:
@@ -108,7 +108,7 @@
         self._held.note(parts)
 
     def _read_rate(self) -> float:
-        share = self.figures.writer_share if self.role is EngineRole.WRITER else 1.0
+        share = self.figures.writer_share if self.role is EngineRole.DECODE else 1.0
         return self.figures.read_rate * share * self.speed
 
     async def fetch(self, parts: tuple[PromptPart, ...]) -> None:
--- a/tools/replay.py
+++ b/tools/replay.py
@@ -13,28 +13,28 @@
 
 from pimentolink.crashreports import CrashReports
 from pimentolink.dialect import CallerRequest, PromptPart
-from pimentolink.egressqueue import Uplink
+from pimentolink.egressqueue import EgressQueue
 from pimentolink.errors import USUAL_PAUSE, Failure, Quarantined
 from pimentolink.fleet import Fleet
-from pimentolink.gatewaydelay import OwnDelay
+from pimentolink.gatewaydelay import GatewayDelay
 from pimentolink.gatewaysettings import EjectionSettings, PlacementSettings
 from pimentolink.httptypes import HttpRequest
 from pimentolink.logs import Log, LogEvent
 from pimentolink.peermessages import (
     InFlight,
-    LoadNews,
+    LoadMessage,
     Message,
-    ReadingBegan,
-    ReadingEnded,
-    SuspectNews,
+    PrefillEnded,
+    PrefillStarted,
+    SuspectMessage,
 )
-from pimentolink.peerupdates import PeerBook
+from pimentolink.peerupdates import PeerUpdates
 from pimentolink.placement import Placement, Placer, SizeScale, WaitingPrompt
-from pimentolink.prefillqueue import ReadingQueue
-from pimentolink.prefillscheduler import Readings
+from pimentolink.prefillqueue import PrefillQueue
+from pimentolink.prefillscheduler import PrefillScheduler
 from pimentolink.routes import EngineModel
 from pimentolink.suspects import Suspects
-from pimentolink.targetestimate import EngineRole, Target, TargetBelief
+from pimentolink.targetestimate import EngineRole, Target, TargetEstimate
 from pimentolink.timers import ManualTimers, Repeater, pause, with_timeout
 from tools.enginemodel import EngineFigures, ModelEngine
 
@@ -283,7 +283,7 @@
         self._is_up = is_up
         self.hearers_by_gateway: dict[str, Hearer] = {}
 
-    def tell(self, sender: str, message: Message) -> None:
+    def broadcast(self, sender: str, message: Message) -> None:
         """Carry a message to all other gateways."""
         if not self._is_up:
             return
@@ -320,21 +320,21 @@
         if not engines:
             return None
         engine = self.pick(engines)
-        is_reader = engine.target.role is EngineRole.READER
+        is_prefill_engine = engine.target.role is EngineRole.PREFILL
         return Placement(
-            belief=engine,
+            estimate=engine,
             tokens=prompt.prompt_tokens,
             held_tokens=0,
             done_at=now,
             copy_from="",
             copied_tokens=0,
-            is_reading_only=is_reader,
+            is_prefill_only=is_prefill_engine,
             engine_done_at=now,
             way=0.0,
             hand_over=0.0,
         )
 
-    def pick(self, engines: list[TargetBelief]) -> TargetBelief:
+    def pick(self, engines: list[TargetEstimate]) -> TargetEstimate:
         """Choose one."""
         raise NotImplementedError
 
@@ -344,7 +344,7 @@
 
     _turn = 0
 
-    def pick(self, engines: list[TargetBelief]) -> TargetBelief:
+    def pick(self, engines: list[TargetEstimate]) -> TargetEstimate:
         """Choose the next one."""
         self._turn += 1
         return engines[self._turn % len(engines)]
@@ -353,10 +353,10 @@
 class LeastInFlight(_Straight):
     """Baseline: the engine with the fewest requests under way."""
 
-    def pick(self, engines: list[TargetBelief]) -> TargetBelief:
+    def pick(self, engines: list[TargetEstimate]) -> TargetEstimate:
         """Choose the idlest."""
         return min(
-            engines, key=lambda engine: engine.load() + len(engine.readings_by_ticket)
+            engines, key=lambda engine: engine.load() + len(engine.prefills_by_ticket)
         )
 
 
@@ -397,15 +397,17 @@
         self.fleet.set_models({SERVICE: model})
         for engine in replay.engines_by_name.values():
             self.fleet.put(_listed(engine))
-        self._uplink = Uplink(megabits, timers)
-        own_delay = OwnDelay()
-        known = self._uplink if policy.knows_link else Uplink(0.0, timers)
+        self._egress_queue = EgressQueue(megabits, timers)
+        own_delay = GatewayDelay()
+        known = self._egress_queue if policy.knows_link else EgressQueue(0.0, timers)
         self.placer = policy.placer(
             policy.settings, self.fleet, "here", known, own_delay
         )
-        self._queue = queue = ReadingQueue(policy.settings, self.placer)
-        self.readings = Readings(queue, self, timers, QuietLog(), name, own_delay)
-        self._book = PeerBook(self.fleet)
+        self._queue = queue = PrefillQueue(policy.settings, self.placer)
+        self.readings = PrefillScheduler(
+            queue, self, timers, QuietLog(), name, own_delay
+        )
+        self._book = PeerUpdates(self.fleet)
         self._suspects = Suspects(Random(name))
         self.crashes = CrashReports(self._suspects, self, timers, QuietLog())
         self._is_suspecting = policy.suspects
@@ -413,13 +415,13 @@
         Repeater(timers, COUNTS_INTERVAL, self._tell_counts)
 
     def _hear(self, sender: str, message: Message) -> None:
-        if isinstance(message, SuspectNews):
+        if isinstance(message, SuspectMessage):
             self.crashes.take(message, "peer")
             return
-        if not isinstance(message, LoadNews):
+        if not isinstance(message, LoadMessage):
             return
         self._book.take(sender, message, self._replay.timers.now())
-        if isinstance(message, ReadingBegan | ReadingEnded):
+        if isinstance(message, PrefillStarted | PrefillEnded):
             self.readings.look()
 
     async def _admit(self, request: Request, request_id: str) -> None:
@@ -427,28 +429,30 @@
             asked = _asked(request, request_id, self._replay.timers.now())
             await self.crashes.admit(asked)
 
-    def _broke(self, request: Request, request_id: str, belief: TargetBelief) -> None:
+    def _broke(
+        self, request: Request, request_id: str, estimate: TargetEstimate
+    ) -> None:
         """Find out at once whether an engine that broke a request off has crashed."""
         asked = _asked(request, request_id, self._replay.timers.now())
-        self.crashes.cut_off(asked, belief)
-        engine = self._replay.engine(belief)
+        self.crashes.cut_off(asked, estimate)
+        engine = self._replay.engine(estimate)
         if engine.is_lost:
-            self.crashes.target_ended(belief.target, "nothing listens")
+            self.crashes.target_ended(estimate.target, "nothing listens")
 
-    def tell(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         """Tell all other gateways."""
-        self._replay.wire.tell(self._name, message)
+        self._replay.wire.broadcast(self._name, message)
 
     def _tell_counts(self) -> None:
         counts = {
-            name: belief.in_flight
-            for name, belief in self.fleet.targets_by_id.items()
-            if belief.in_flight
+            name: estimate.in_flight
+            for name, estimate in self.fleet.targets_by_id.items()
+            if estimate.in_flight
         }
         waiting = self._queue.waiting_work()
-        self.tell(InFlight(self._name, counts, True, waiting))
+        self.broadcast(InFlight(self._name, counts, True, waiting))
         if self._tells_open:
-            self.tell(self.readings.open_readings())
+            self.broadcast(self.readings.open_prefills())
 
     async def serve(self, request: Request, kind: Kind, due_at: float) -> float:
         """
@@ -486,16 +490,16 @@
         placement = ticket.placement
         is_good = False
         try:
-            reader = self._replay.engine(placement.belief)
+            reader = self._replay.engine(placement.estimate)
             source = self._replay.engine_at(placement.copy_from)
             await self._send(prompt.body_bytes)
             reading = reader.read(request.parts, source)
-            await self._on(request, request_id, placement.belief, reading)
+            await self._on(request, request_id, placement.estimate, reading)
             is_good = True
         finally:
             self.readings.end(ticket, is_good)
-        writer = placement.belief
-        if placement.is_reading_only:
+        writer = placement.estimate
+        if placement.is_prefill_only:
             await self._send(prompt.body_bytes)
             writer = await self._hand_over(request, request_id, writer)
         await self._admit(request, request_id)
@@ -514,14 +518,14 @@
 
     async def _send(self, size: int) -> None:
         """Let a prompt leave over this gateway's link."""
-        delay = self._uplink.delay(size)
-        self._uplink.sent(size)
+        delay = self._egress_queue.delay(size)
+        self._egress_queue.sent(size)
         if delay:
             await pause(self._replay.timers, delay)
 
     async def _hand_over(
-        self, request: Request, request_id: str, reader: TargetBelief
-    ) -> TargetBelief:
+        self, request: Request, request_id: str, reader: TargetEstimate
+    ) -> TargetEstimate:
         now = self._replay.timers.now()
         near = reader.target.data_centre
         writer = self.placer.writer(SERVICE, near, now)
@@ -536,19 +540,19 @@
         self,
         request: Request,
         request_id: str,
-        belief: TargetBelief,
+        estimate: TargetEstimate,
         work: Awaitable[None],
     ) -> None:
-        belief.in_flight += 1
+        estimate.in_flight += 1
         try:
             await work
         except Failure as failure:
-            self.fleet.failed(belief, self._replay.timers.now())
+            self.fleet.failed(estimate, self._replay.timers.now())
             if failure.ran:
-                self._broke(request, request_id, belief)
+                self._broke(request, request_id, estimate)
             raise
         finally:
-            belief.in_flight -= 1
+            estimate.in_flight -= 1
 
 
 def _listed(engine: ModelEngine) -> Target:
@@ -584,7 +588,7 @@
         self.load = load
         self.timers = ManualTimers()
         self.wire = Wire(self.timers, policy.tells, load.news_lost)
-        roles = [EngineRole.READER] * load.readers + [EngineRole.WRITER] * load.writers
+        roles = [EngineRole.PREFILL] * load.readers + [EngineRole.DECODE] * load.writers
         self.engines_by_name = {
             f"e{number}": ModelEngine(f"e{number}", role, load.engine, self.timers)
             for number, role in enumerate(roles)
@@ -603,9 +607,9 @@
         self._first_at: dict[int, float] = {}
         self._failures: dict[int, Failure] = {}
 
-    def engine(self, belief: TargetBelief) -> ModelEngine:
+    def engine(self, estimate: TargetEstimate) -> ModelEngine:
         """Find the engine that a gateway believes in."""
-        return self.engines_by_name[belief.target.target_id]
+        return self.engines_by_name[estimate.target.target_id]
 
     def engine_at(self, address: str) -> ModelEngine | None:
         """Find an engine by its address; ``None`` for an empty one."""
