--- a/pimentolink/cachelearning.py
+++ b/pimentolink/cachelearning.py
@@ -1,4 +1,4 @@
-"""Learns what engines hold when a gateway starts into a running deployment."""
+"""Queries engines for their prefix cache contents when a gateway starts."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 from pimentolink.targetestimate import TargetEstimate
 from pimentolink.timers import Timers, pause, with_timeout
 
-# Seconds over which a gateway spreads its questions, so that many that start together
-# do not ask an engine at the same moment.
-SPREAD = 1.0
-# Seconds until a question counts as unanswered.
-TIMEOUT = 1.0
+# Maximum random delay of a query in seconds, so that gateways that start together do
+# not query an engine at the same time.
+MAX_JITTER = 1.0
+# Seconds to wait for the response to a query.
+QUERY_TIMEOUT = 1.0
 
 Send = Callable[[TargetEstimate, HttpRequest], Coroutine[Any, Any, HttpReply]]
 
 
 class CacheLearning:
     """
-    Asks each engine once what its memory holds.
+    Queries each engine once for the contents of its prefix cache.
 
-    Without it a restarted gateway has shared parts read again that engines still hold,
-    for as long as it takes until all were asked for once more.
+    Without this, after a gateway restart, engines recompute shared parts that other
+    engines still have cached, until each of these parts has been requested again.
     """
 
     def __init__(
@@ -44,14 +44,14 @@
         log: Log,
     ) -> None:
         """
-        Prepare.
+        Create a learner; no query is sent yet.
 
-        :param dialect: writes the question and reads the answer.
+        :param dialect: encodes queries and decodes responses.
         :param fleet: the engines.
-        :param send: makes one call.
+        :param send: sends an HTTP request to an engine.
         :param timers: the timer service.
-        :param random: seeded source for jitter.
-        :param log: where events go.
+        :param random: seeded random source for the jitter.
+        :param log: receives log events.
         """
         self._dialect = dialect
         self._fleet = fleet
@@ -61,29 +61,29 @@
         self._log = log
 
     def ask_all(self) -> None:
-        """Ask every engine known by now."""
+        """Query every engine that is currently known."""
         for estimate in self._fleet.targets_by_id.values():
             if self._fleet.model(estimate.target.service) is not None:
-                asking = Deferred.fromCoroutine(self._ask(estimate))
-                asking.addErrback(lambda failure: failure.trap(Failure, TimeoutError))
+                task = Deferred.fromCoroutine(self._query(estimate))
+                task.addErrback(lambda failure: failure.trap(Failure, TimeoutError))
 
-    async def _ask(self, estimate: TargetEstimate) -> None:
-        await pause(self._timers, self._random.uniform(0.0, SPREAD))
-        question = self._dialect.ask_parts(estimate)
+    async def _query(self, estimate: TargetEstimate) -> None:
+        await pause(self._timers, self._random.uniform(0.0, MAX_JITTER))
+        query = self._dialect.ask_parts(estimate)
         try:
-            sending = self._send(estimate, question)
-            reply = await with_timeout(self._timers, TIMEOUT, sending)
+            call = self._send(estimate, query)
+            reply = await with_timeout(self._timers, QUERY_TIMEOUT, call)
         except (Failure, TimeoutError) as error:
-            self._tell(estimate, 0, str(error))
+            self._log_result(estimate, 0, str(error))
             return
-        found = self._dialect.read_parts(reply)
-        if isinstance(found, Err):
-            self._tell(estimate, 0, str(found.err_value))
+        parsed = self._dialect.read_parts(reply)
+        if isinstance(parsed, Err):
+            self._log_result(estimate, 0, str(parsed.err_value))
             return
-        estimate.fetched(found.ok_value)
-        self._tell(estimate, len(found.ok_value), "")
+        estimate.fetched(parsed.ok_value)
+        self._log_result(estimate, len(parsed.ok_value), "")
 
-    def _tell(self, estimate: TargetEstimate, parts: int, detail: str) -> None:
+    def _log_result(self, estimate: TargetEstimate, parts: int, detail: str) -> None:
         self._log.write(
             LogEvent.CACHE_LEARNED,
             target=estimate.target.target_id,
--- a/pimentolink/decayingrate.py
+++ b/pimentolink/decayingrate.py
@@ -1,4 +1,4 @@
-"""A rate over the last moments."""
+"""Exponentially decaying rate estimator."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 
 class DecayingRate:
-    """Amounts a second, of which older ones count less and less."""
+    """A rate per second in which the weight of older amounts decays exponentially."""
 
     def __init__(self, horizon: float) -> None:
         """
-        Start at 0.
+        Create an estimator with a rate of 0.
 
-        :param horizon: seconds over which the rate is averaged.
+        :param horizon: time constant of the decay, in seconds.
         """
         self._horizon = horizon
         self._sum = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
     def add(self, amount: float, now: float) -> None:
-        """Count an amount."""
+        """Record an amount."""
         self._decay(now)
         self._sum += amount
 
     def value(self, now: float) -> float:
-        """Tell the rate."""
+        """Return the rate per second."""
         self._decay(now)
         return self._sum / self._horizon
 
     def _decay(self, now: float) -> None:
-        self._sum *= math.exp(-max(0.0, now - self._at) / self._horizon)
-        self._at = now
+        self._sum *= math.exp(-max(0.0, now - self._updated_at) / self._horizon)
+        self._updated_at = now
--- a/pimentolink/gatewaydelay.py
+++ b/pimentolink/gatewaydelay.py
@@ -1,43 +1,44 @@
-"""Learns what readings take beyond their engine's time, for reasons of this gateway."""
+"""Estimates the delay that this gateway itself adds to prefills."""
 
 from __future__ import annotations
 
 from pimentolink.decayingrate import DecayingRate
 
-# Seconds after which what was learned counts for a third, with readings or without. It
-# is forgotten as fast as bursts end: a gateway that turned prompts away for its own
-# delay would otherwise learn of nothing that could show that the delay is over.
-HORIZON = 1.0
-# Readings without delay that are taken to have ended beside those that did, so that one
-# that hung does not stand for all.
-PRIOR = 2.0
+# Seconds after which the weight of a sample has decayed to about a third, whether or
+# not new samples arrive. The decay is as fast as bursts end: a gateway that rejects
+# prompts because of its own delay gets no new samples that could show that the delay is
+# over.
+TIME_CONSTANT = 1.0
+# Number of additional samples without delay that are assumed in the mean, so that a
+# single hung prefill does not dominate it.
+PRIOR_SAMPLES = 2.0
 
 
 class GatewayDelay:
     """
-    The mean of what readings took beyond what was predicted, over the last moments.
+    Decaying mean of the time that prefills took beyond their prediction.
 
-    Load pattern: gateways of very different processors and links before the same
-    engines. What a busy gateway adds was taken for time of the engines by all, and each
-    turned prompts away beside engines that were idle.
+    Load pattern: gateways whose processors and links differ widely share the same
+    engines. When the delay of a busy gateway was attributed to the engines, all
+    gateways took these for slow and rejected prompts while the engines were idle.
     """
 
     def __init__(self) -> None:
-        """Start without delay."""
-        self._seconds = DecayingRate(HORIZON)
-        self._readings = DecayingRate(HORIZON)
+        """Start with an estimate of 0."""
+        self._excess_rate = DecayingRate(TIME_CONSTANT)
+        self._sample_rate = DecayingRate(TIME_CONSTANT)
 
     def learn(self, seconds: float, now: float) -> None:
         """
-        Learn from a reading of this gateway.
+        Update the estimate with a completed prefill of this gateway.
 
-        :param seconds: that it took beyond its engine's time and the way there; below
-            zero if it took less.
+        :param seconds: time beyond the predicted transmission and engine time;
+            negative if the prefill was faster than predicted.
         """
-        self._seconds.add(seconds, now)
-        self._readings.add(1, now)
+        self._excess_rate.add(seconds, now)
+        self._sample_rate.add(1, now)
 
     def seconds(self, now: float) -> float:
-        """Predict what the next reading takes beyond its engine's time."""
-        readings = self._readings.value(now) + PRIOR / HORIZON
-        return max(0.0, self._seconds.value(now) / readings)
+        """Predict the delay that this gateway adds to the next prefill."""
+        sample_rate = self._sample_rate.value(now) + PRIOR_SAMPLES / TIME_CONSTANT
+        return max(0.0, self._excess_rate.value(now) / sample_rate)
--- a/pimentolink/prefixcache.py
+++ b/pimentolink/prefixcache.py
@@ -1,4 +1,4 @@
-"""What one engine's memory probably holds of prompts."""
+"""Estimates which prompt parts are in the prefix caches of engines."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class PrefixCacheIndex:
-    """Tells which engines probably hold a part."""
+    """Index of the engines that probably have a prompt part cached."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty index."""
         self._owners_by_part: dict[int, dict[str, None]] = {}
 
     def add(self, part_id: int, owner: str) -> None:
-        """Learn that an engine holds a part."""
+        """Record that an engine has a part cached."""
         self._owners_by_part.setdefault(part_id, {})[owner] = None
 
     def discard(self, part_id: int, owner: str) -> None:
-        """Learn that it does not any more."""
+        """Record that an engine no longer has a part cached."""
         owners = self._owners_by_part.get(part_id)
         if owners is None:
             return
@@ -28,36 +28,37 @@
         if not owners:
             del self._owners_by_part[part_id]
 
-    def owners(self, parts: tuple[PromptPart, ...], most: int) -> list[str]:
+    def owners(self, parts: tuple[PromptPart, ...], limit: int) -> list[str]:
         """
-        List engines that hold some of a prompt, those with the most of it first.
+        List engines that have parts of a prompt cached, longest prefix first.
 
-        :param parts: of the prompt, in order.
-        :param most: engines listed.
+        :param parts: parts of the prompt, in order.
+        :param limit: maximum number of engines to return.
         """
         found: dict[str, None] = {}
         for part in reversed(parts):
             for owner in self._owners_by_part.get(part.part_id, ()):
                 found[owner] = None
-                if len(found) == most:
+                if len(found) == limit:
                     return list(found)
         return list(found)
 
 
 class PrefixCacheEstimate:
     """
-    Follows the parts of prompts that an engine read, least recently used out first.
+    Simulates the prefix cache of an engine with least-recently-used eviction.
 
-    It is a guess from what was sent there: the engine's own order of use may differ.
+    The estimate is based on the prompts sent to the engine; the engine's own eviction
+    order may differ.
     """
 
     def __init__(self, owner: str, index: PrefixCacheIndex | None = None) -> None:
         """
-        Start empty, with room for nothing.
+        Create an empty cache with a capacity of 0.
 
-        :param owner: the engine.
-        :param index: learns what it holds.
-        :ivar capacity_tokens: that the engine's memory holds.
+        :param owner: identifies the engine in the index.
+        :param index: updated as parts are added and evicted.
+        :ivar capacity_tokens: capacity of the engine's prefix cache in tokens.
         """
         self._owner = owner
         self._index = index
@@ -66,7 +67,7 @@
         self._tokens = 0
 
     def note(self, parts: Iterable[PromptPart]) -> None:
-        """Remember that parts were used there just now."""
+        """Mark parts as most recently used, evicting others beyond the capacity."""
         for part in parts:
             self._tokens += part.tokens - self._tokens_by_part.pop(part.part_id, 0)
             self._tokens_by_part[part.part_id] = part.tokens
@@ -80,19 +81,19 @@
 
     def held_tokens(self, parts: Iterable[PromptPart]) -> int:
         """
-        Count the tokens of a prompt that need not be read again.
+        Return the number of tokens of a prompt that need not be computed again.
 
-        A part only helps if all parts before it are held too.
+        A part can be reused only if all parts before it are cached too.
         """
-        held = 0
+        cached = 0
         for part in parts:
             if part.part_id not in self._tokens_by_part:
                 break
-            held += part.tokens
-        return held
+            cached += part.tokens
+        return cached
 
     def forget(self) -> None:
-        """Start anew, as the engine did."""
+        """Empty the cache, as after a restart of the engine."""
         if self._index is not None:
             for part_id in self._tokens_by_part:
                 self._index.discard(part_id, self._owner)
--- a/tests/test_egressqueue.py
+++ b/tests/test_egressqueue.py
@@ -1,4 +1,4 @@
-"""How long bytes take to leave an instance over its own link."""
+"""Tests for the predicted transmission delay over the link of an instance."""
 
 import pytest
 
--- a/tests/test_gatewaydelay.py
+++ b/tests/test_gatewaydelay.py
@@ -1,4 +1,4 @@
-"""What a gateway itself adds to readings, learned and forgotten."""
+"""Tests for the estimate of the delay that a gateway adds to prefills."""
 
 import pytest
 
