--- a/pimentolink/placement.py
+++ b/pimentolink/placement.py
@@ -1,4 +1,4 @@
-"""Decides at which engine a prompt is read, and which one writes its answer."""
+"""Chooses the engine that prefills a prompt and the one that decodes the response."""
 
 from __future__ import annotations
 
@@ -11,30 +11,32 @@
 from pimentolink.gatewaysettings import PlacementSettings
 from pimentolink.targetestimate import EngineRole, TargetEstimate
 
-# Worth of a generation by its size against the mean of its route: a fixed part and
-# one that grows with the size, up to a bound.
-FIXED_WORTH = 0.3
-SIZED_WORTH = 0.7
+# Value of a request: a fixed part plus a part proportional to its size relative to the
+# mean of its route, up to a limit.
+FIXED_VALUE = 0.3
+SIZE_VALUE_WEIGHT = 0.7
 MAX_SIZE = 4.0
-# An output token counts as this many prompt tokens in a request's size.
-OUTPUT_SIZE = 10
-# Tokens below which parts are read again rather than fetched.
-MIN_COPY = 512
-# Weight of one request in a route's mean size.
+# Number of prompt tokens that one output token counts for in the size of a request.
+OUTPUT_TOKEN_WEIGHT = 10
+# Below this number of tokens, prefix parts are recomputed instead of being fetched from
+# another engine.
+MIN_COPY_TOKENS = 512
+# Weight of a new request in the moving average of its route's request size.
 SIZE_SMOOTHING = 0.05
 
 
 class WaitingPrompt(NamedTuple):
     """
-    A prompt that waits to be read.
-
-    :ivar size: worth of the request, by its size, as a multiple of its route's.
-    :ivar arrived_at: when the caller asked, or, of a request that is tried again after
-        an engine failed it, when that was.
-    :ivar latency_target: seconds that it may take from then on.
-    :ivar on_time_until: when its first event should be with the caller.
-    :ivar due_at: when the caller or the operator gives it up.
-    :ivar body_bytes: that an engine is sent with it.
+    A prompt that waits for prefill.
+
+    :ivar size: value of the request, derived from its size, relative to the mean
+        request of its route.
+    :ivar arrived_at: arrival time of the request, or, if it is retried after an engine
+        failed, the time of that failure.
+    :ivar latency_target: seconds allowed from then until the first event.
+    :ivar on_time_until: time by which the first event should reach the caller.
+    :ivar due_at: time at which the request expires, as set by caller or operator.
+    :ivar body_bytes: size of the request body sent to the engine.
     """
 
     request_id: str
@@ -51,17 +53,19 @@
 
 class Placement(NamedTuple):
     """
-    Where a prompt is read.
-
-    :ivar tokens: that have to be read there.
-    :ivar held_tokens: that the engine probably holds.
-    :ivar done_at: predicted end of the reading, as this gateway will see it.
-    :ivar engine_done_at: the same, without what this gateway adds itself.
-    :ivar way: predicted seconds until the engine has the prompt.
-    :ivar hand_over: predicted seconds from the end of the reading until the engine that
-        writes the answer has the prompt.
-    :ivar copy_from: address of an engine that holds more of the prompt.
-    :ivar is_prefill_only: whether another engine writes the answer.
+    The engine chosen for a prefill, with the predicted times.
+
+    :ivar tokens: tokens that the engine must compute.
+    :ivar held_tokens: tokens that are probably in the engine's prefix cache.
+    :ivar done_at: predicted end of the prefill as observed by this gateway.
+    :ivar engine_done_at: predicted end without the delay added by this gateway.
+    :ivar way: predicted seconds until the engine has received the prompt.
+    :ivar hand_over: predicted seconds from the end of the prefill until the decode
+        engine has received the prompt.
+    :ivar copy_from: address of an engine that has more of the prompt cached; empty if
+        nothing is fetched.
+    :ivar copied_tokens: tokens fetched from there.
+    :ivar is_prefill_only: whether another engine decodes the response.
     """
 
     estimate: TargetEstimate
@@ -76,18 +80,18 @@
     hand_over: float
 
     @property
-    def written_from(self) -> float:
-        """Predicted moment from which the answer can be written."""
+    def decode_ready_at(self) -> float:
+        """Predicted time at which decoding can start."""
         return self.done_at + self.hand_over
 
 
-class _Reach(NamedTuple):
+class _TransferPlan(NamedTuple):
     """
-    What is alike for all engines that a prompt may go to.
+    Values of a prompt that are the same for all candidate engines.
 
-    :ivar way: seconds until an engine has the prompt.
-    :ivar source: engine from which most of it can be fetched.
-    :ivar fetchable: tokens that can be fetched there.
+    :ivar way: seconds until an engine has received the prompt.
+    :ivar source: engine from which the longest prefix can be fetched.
+    :ivar fetchable: tokens that can be fetched from it.
     """
 
     way: float
@@ -95,55 +99,57 @@
     fetchable: int
 
 
-class _Option(NamedTuple):
+class _Candidate(NamedTuple):
     """
-    One engine that a prompt may go to.
+    A candidate engine for a prefill.
 
-    :ivar cost: seconds by which engines are compared.
-    :ivar held: tokens that it probably holds.
-    :ivar ends_in: seconds until the prompt is read there.
+    :ivar cost: placement cost in seconds; the candidate with the lowest cost is chosen.
+    :ivar tokens: tokens that the engine must compute.
+    :ivar cached: tokens that are probably in its prefix cache.
+    :ivar copied: tokens that it fetches from another engine.
+    :ivar ends_in: seconds until the prefill ends.
     """
 
     cost: float
     engine: TargetEstimate
     tokens: int
-    held: int
+    cached: int
     copied: int
     ends_in: float
 
 
-def _cost_of(option: _Option) -> float:
-    return option.cost
+def _candidate_cost(candidate: _Candidate) -> float:
+    return candidate.cost
 
 
 class SizeScale:
-    """Tells a request's worth by its size, against the mean of its route."""
+    """Rates the value of requests by their size relative to the mean of their route."""
 
     def __init__(self) -> None:
-        """Start without means."""
+        """Create a scale without any observed requests."""
         self._mean_by_route: dict[str, float] = {}
 
     def worth(self, route: str, prompt_tokens: int, output_tokens: int) -> float:
         """
-        Learn a request's size and tell its worth.
+        Update the route's mean size with a request and return the request's value.
 
-        :returns: a multiple of the worth of the route's mean request.
+        :returns: multiple of the value of the route's mean request.
         """
-        size = float(prompt_tokens + OUTPUT_SIZE * output_tokens) or 1.0
+        size = float(prompt_tokens + OUTPUT_TOKEN_WEIGHT * output_tokens) or 1.0
         mean = self._mean_by_route.get(route, size)
         mean += SIZE_SMOOTHING * (size - mean)
         self._mean_by_route[route] = mean
-        return min(MAX_SIZE, FIXED_WORTH + SIZED_WORTH * size / mean)
+        return min(MAX_SIZE, FIXED_VALUE + SIZE_VALUE_WEIGHT * size / mean)
 
 
 class Placer:
     """
     Chooses engines for prompts.
 
-    Load pattern: bursts of prompts, of which most share long parts, over few engines
-    whose reading is what binds. A prompt goes where it is done soonest, with a price
-    on the engine time that it takes, so that shared parts are read once and stay
-    with one engine until that one falls behind.
+    Load pattern: bursts of prompts, most of which share long prefixes, on a few engines
+    whose prefill throughput is the bottleneck. A prompt goes to the engine that
+    finishes it first, with a penalty on the engine time used. Shared prefixes are
+    therefore computed once and stay on one engine until that engine falls behind.
     """
 
     def __init__(
@@ -155,13 +161,13 @@
         own_delay: GatewayDelay,
     ) -> None:
         """
-        Prepare.
+        Create a placer.
 
-        :param settings: weights.
+        :param settings: cost weights.
         :param fleet: the targets.
-        :param data_centre: where this gateway stands.
+        :param data_centre: data centre of this gateway.
         :param egress_queue: predicts how long a prompt takes to leave this gateway.
-        :param own_delay: what readings take beyond that and their engine's time.
+        :param own_delay: delay that this gateway adds beyond that and the engine time.
         """
         self._settings = settings
         self._fleet = fleet
@@ -171,104 +177,119 @@
 
     def best(self, prompt: WaitingPrompt, now: float) -> Placement | None:
         """
-        Find the engine at which a prompt is best read.
+        Choose the engine with the lowest cost for a prompt.
 
-        :returns: ``None`` if no engine of the service takes work.
+        :returns: ``None`` if no decode engine of the service is available, since the
+            response could not be generated then.
         """
         engines = self._fleet.usable(prompt.service, now, prompt.parts)
-        has_writer = any(
+        has_decode_engine = any(
             engine.target.role is not EngineRole.PREFILL for engine in engines
         )
-        if not has_writer:
+        if not has_decode_engine:
             return None
-        most = prompt.prompt_tokens - 1
+        max_reusable = prompt.prompt_tokens - 1
         source = max(engines, key=lambda item: item.fetchable.held_tokens(prompt.parts))
-        reach = _Reach(
+        transfer = _TransferPlan(
             way=self._egress_queue.delay(prompt.body_bytes),
             source=source,
-            fetchable=min(most, source.fetchable.held_tokens(prompt.parts)),
+            fetchable=min(max_reusable, source.fetchable.held_tokens(prompt.parts)),
+        )
+        candidates = [
+            self._evaluate(prompt, engine, transfer, now) for engine in engines
+        ]
+        return self._build_placement(
+            min(candidates, key=_candidate_cost), transfer, now
         )
-        options = [self._option(prompt, engine, reach, now) for engine in engines]
-        return self._placement(min(options, key=_cost_of), reach, now)
 
-    def _option(
-        self, prompt: WaitingPrompt, engine: TargetEstimate, reach: _Reach, now: float
-    ) -> _Option:
-        """Predict what reading a prompt at one engine takes and costs."""
+    def _evaluate(
+        self,
+        prompt: WaitingPrompt,
+        engine: TargetEstimate,
+        transfer: _TransferPlan,
+        now: float,
+    ) -> _Candidate:
+        """Predict the duration and the cost of a prefill on one engine."""
         settings = self._settings
-        most = prompt.prompt_tokens - 1
-        held = min(most, engine.parts.held_tokens(prompt.parts))
-        copied = reach.fetchable - held
-        if copied < MIN_COPY:
+        max_reusable = prompt.prompt_tokens - 1
+        cached = min(max_reusable, engine.parts.held_tokens(prompt.parts))
+        copied = transfer.fetchable - cached
+        if copied < MIN_COPY_TOKENS:
             copied = 0
-        tokens = max(1, prompt.prompt_tokens - held - copied)
+        tokens = max(1, prompt.prompt_tokens - cached - copied)
         work = engine.work_time(tokens)
         if copied:
             work += engine.copy_time(copied)
-        ends_in = max(reach.way, engine.backlog(now)) + work
+        ends_in = max(transfer.way, engine.backlog(now)) + work
         cost = ends_in + settings.duplicate_cost * work + engine.failure_share
         role = engine.target.role
         if role is EngineRole.PREFILL:
-            cost += reach.way
+            cost += transfer.way
         elif role is EngineRole.DECODE:
             cost += settings.interference * engine.load() * work
         if engine.target.data_centre != self._data_centre:
             cost += settings.remote_cost
-        return _Option(cost, engine, tokens, held, copied, ends_in)
+        return _Candidate(cost, engine, tokens, cached, copied, ends_in)
 
-    def _placement(self, option: _Option, reach: _Reach, now: float) -> Placement:
-        is_prefill_engine = option.engine.target.role is EngineRole.PREFILL
+    def _build_placement(
+        self, candidate: _Candidate, transfer: _TransferPlan, now: float
+    ) -> Placement:
+        is_prefill_engine = candidate.engine.target.role is EngineRole.PREFILL
         return Placement(
-            estimate=option.engine,
-            tokens=option.tokens,
-            held_tokens=option.held,
-            done_at=now + option.ends_in + self._own_delay.seconds(now),
-            engine_done_at=now + option.ends_in,
-            copy_from=reach.source.target.address if option.copied else "",
-            copied_tokens=option.copied,
+            estimate=candidate.engine,
+            tokens=candidate.tokens,
+            held_tokens=candidate.cached,
+            done_at=now + candidate.ends_in + self._own_delay.seconds(now),
+            engine_done_at=now + candidate.ends_in,
+            copy_from=transfer.source.target.address if candidate.copied else "",
+            copied_tokens=candidate.copied,
             is_prefill_only=is_prefill_engine,
-            way=reach.way,
-            hand_over=reach.way if is_prefill_engine else 0.0,
+            way=transfer.way,
+            hand_over=transfer.way if is_prefill_engine else 0.0,
         )
 
     def engines(self, service: str, now: float) -> list[TargetEstimate]:
-        """List the engines of a service that take work."""
+        """Return the engines of a service that accept work."""
         return self._fleet.usable(service, now)
 
-    def wait_behind(
-        self, service: str, work_here: float, share: float, now: float
+    def expected_wait(
+        self, service: str, queued_work: float, share: float, now: float
     ) -> float:
         """
-        Predict how long a service's engines are busy with what waits.
+        Predict how long the engines of a service are busy with queued work.
 
-        :param work_here: engine seconds that go first of what waits here.
-        :param share: of what waits at other gateways that goes first.
+        :param queued_work: engine seconds queued at this gateway that run first.
+        :param share: fraction of the work queued at other gateways that runs first.
         :returns: seconds.
         """
-        work = work_here + share * self._fleet.waiting_elsewhere(service)
+        work = queued_work + share * self._fleet.waiting_elsewhere(service)
         return work / max(1.0, self._fleet.usable_count(service, now))
 
-    def writer(self, service: str, near: str, now: float) -> TargetEstimate | None:
+    def writer(
+        self, service: str, prefill_data_centre: str, now: float
+    ) -> TargetEstimate | None:
         """
-        Choose the engine that writes an answer whose prompt was read elsewhere.
+        Choose the decode engine for a prompt whose prefill ran on another engine.
 
-        :param near: data centre of the engine that read it.
-        :returns: ``None`` if there is none.
+        :param prefill_data_centre: data centre of the engine that ran the prefill.
+        :returns: ``None`` if no decode engine is available.
         """
-        writers = [
+        decode_engines = [
             engine
             for engine in self._fleet.usable(service, now)
             if engine.target.role is not EngineRole.PREFILL
         ]
         return min(
-            writers,
-            key=lambda engine: self._writer_cost(engine, near, now),
+            decode_engines,
+            key=lambda engine: self._decode_cost(engine, prefill_data_centre, now),
             default=None,
         )
 
-    def _writer_cost(self, engine: TargetEstimate, near: str, now: float) -> float:
+    def _decode_cost(
+        self, engine: TargetEstimate, prefill_data_centre: str, now: float
+    ) -> float:
         cost = engine.load() / max(1, engine.target.slots)
         cost += engine.backlog(now) + engine.failure_share
-        if engine.target.data_centre != near:
+        if engine.target.data_centre != prefill_data_centre:
             cost += self._settings.remote_fetch
         return cost
--- a/pimentolink/prefillqueue.py
+++ b/pimentolink/prefillqueue.py
@@ -1,4 +1,4 @@
-"""Decides which waiting prompt is read next, and which are turned away."""
+"""Priority queue of prompts that wait for prefill, with admission control."""
 
 from __future__ import annotations
 
@@ -10,235 +10,254 @@
 from pimentolink.gatewaysettings import PlacementSettings
 from pimentolink.placement import Placement, Placer, WaitingPrompt
 
-# Share of an answer's worth that remains once it is later than its latency target.
-LATE_WORTH = 0.35
-# Multiple of its own reading time that a large prompt is given before it is late.
-LARGE_FACTOR = 1.2
-# Waiting prompts whose place is predicted anew to choose the next one; those beyond
-# are worth less.
+# Fraction of a request's value that remains once its latency target is missed.
+LATE_VALUE_FACTOR = 0.35
+# The prefill of a large prompt may end up to this multiple of its own engine time after
+# arrival, even if that exceeds the latency target.
+LARGE_PROMPT_FACTOR = 1.2
+# Number of highest-ranked prompts whose placement is recomputed to choose the next
+# one; the rest rank lower.
 MAX_CANDIDATES = 16
-# Waiting prompts whose place is predicted anew to find hopeless ones, in one look.
-MAX_CHECKED = 8
-# Share of the prompts that wait elsewhere that is taken to go before a new one while
-# nothing waits here that could tell.
-USUAL_SHARE = 0.5
-# Seconds over which work that is turned away is averaged; two looks of whoever decides
-# on roles, so that a single refusal is no shortage.
-UNMET_HORIZON = 2.0
-# Shortest and longest pause, in seconds, after which a caller is asked to return.
-MIN_PAUSE = 0.1
-MAX_PAUSE = 2.0
-
-
-class _Waiting:
+# Number of prompts whose placement is recomputed in one call of pop_unservable().
+MAX_EXPIRY_CHECKS = 8
+# Fraction of the work queued at other gateways that is assumed to run before a new
+# prompt while the local queue is empty and gives no estimate.
+DEFAULT_SHARE_AHEAD = 0.5
+# Seconds over which the rate of rejected work is averaged. This spans two evaluations
+# of the role controller, so that a single rejection does not look like a shortage.
+UNMET_WORK_HORIZON = 2.0
+# Bounds on the Retry-After value sent to a rejected caller, in seconds.
+MIN_RETRY_AFTER = 0.1
+MAX_RETRY_AFTER = 2.0
+
+
+class _QueueEntry:
     """
-    A waiting prompt with what was last predicted of it.
+    A queued prompt with its most recent placement prediction.
 
-    :ivar rank: its place in the order; the least goes first.
-    :ivar work: seconds of an engine that its reading takes.
-    :ivar rests_on: what the prediction rests on; it holds until that changes.
+    :ivar rank: sort key; the entry with the lowest rank is dispatched first.
+    :ivar work: engine seconds that the prefill takes.
+    :ivar prediction_key: time and dispatch count at which the prediction was made; it
+        is valid until either changes.
     """
 
     def __init__(
-        self, prompt: WaitingPrompt, placement: Placement, rests_on: tuple[float, int]
+        self,
+        prompt: WaitingPrompt,
+        placement: Placement,
+        prediction_key: tuple[float, int],
     ) -> None:
         self.prompt = prompt
-        self.predict(placement, rests_on)
+        self.predict(placement, prediction_key)
 
-    def predict(self, placement: Placement, rests_on: tuple[float, int]) -> None:
-        """Take a newer prediction."""
+    def predict(self, placement: Placement, prediction_key: tuple[float, int]) -> None:
+        """Replace the prediction and recompute the rank."""
         self.placement = placement
-        self.rests_on = rests_on
+        self.prediction_key = prediction_key
         self.work = placement.estimate.work_time(placement.tokens)
-        worth = self.prompt.size
-        if placement.written_from > self.prompt.on_time_until:
-            worth *= LATE_WORTH
-        self.rank = (-worth / self.work, self.prompt.arrived_at)
+        request_value = self.prompt.size
+        if placement.decode_ready_at > self.prompt.on_time_until:
+            request_value *= LATE_VALUE_FACTOR
+        self.rank = (-request_value / self.work, self.prompt.arrived_at)
 
 
 class PrefillQueue:
     """
-    Prompts that wait at this gateway.
+    Prompts that wait at this gateway for an engine.
 
-    Load pattern: more prompts than the engines read in time. Engines are sent little
-    ahead of need, so that what waits can be reordered; what brings the most worth for
-    its engine time goes first, what can still be on time before what is late.
+    Load pattern: more prompts arrive than the engines can prefill in time. Little work
+    is sent to engines in advance, so that queued prompts can still be reordered.
+    Prompts are ordered by value per engine second; the value of those that will miss
+    their latency target is reduced.
 
-    Predictions are kept and made anew for a few prompts a look: at four times the
-    usual load, with all of them made anew, a gateway's loop ran over a second late and
-    sent requests whose callers had left.
+    Predictions are cached, and each call recomputes only a few of them. When all were
+    recomputed, the event loop of a gateway under four times the usual load ran more
+    than a second late and sent requests whose callers had already disconnected.
     """
 
     def __init__(self, settings: PlacementSettings, placer: Placer) -> None:
         """
-        Start empty.
+        Create an empty queue.
 
-        :param settings: depth and bounds.
-        :param placer: chooses engines.
+        :param settings: queue depth per engine and admission limits.
+        :param placer: chooses the engine for each prompt.
         """
         self._settings = settings
         self._placer = placer
-        self._waiting_by_id: OrderedDict[str, _Waiting] = OrderedDict()
-        # Prompts taken out so far; each changes what is predicted of the others.
-        self._taken = 0
-        self._unmet_by_service: dict[str, DecayingRate] = {}
+        self._entries_by_id: OrderedDict[str, _QueueEntry] = OrderedDict()
+        # Number of prompts dispatched; each dispatch invalidates other predictions.
+        self._dispatch_count = 0
+        self._unmet_rate_by_service: dict[str, DecayingRate] = {}
 
     def __len__(self) -> int:
-        """Count the prompts that wait."""
-        return len(self._waiting_by_id)
+        """Return the number of queued prompts."""
+        return len(self._entries_by_id)
 
     def add(self, prompt: WaitingPrompt, now: float) -> Failure | None:
         """
-        Take a prompt in, or turn it away at once.
+        Enqueue a prompt, or reject it at once if it cannot be served in time.
 
-        :returns: why it is turned away.
+        :returns: the reason for the rejection, or ``None`` if the prompt was queued.
         """
         placement = self._placer.best(prompt, now)
         if placement is None:
-            return NoTarget(f"no engine of {prompt.service} takes work", 1.0)
-        waiting = _Waiting(prompt, placement, (now, self._taken))
-        begins_at = placement.written_from + self._work_ahead(waiting, now)
-        failure = self._refusal(prompt, placement, begins_at, now)
+            return NoTarget(f"no engine of {prompt.service} accepts work", 1.0)
+        entry = _QueueEntry(prompt, placement, (now, self._dispatch_count))
+        decode_starts_at = placement.decode_ready_at + self._wait_ahead(entry, now)
+        failure = self._refusal(prompt, placement, decode_starts_at, now)
         if failure is None:
-            self._waiting_by_id[prompt.request_id] = waiting
+            self._entries_by_id[prompt.request_id] = entry
         else:
-            self._unmet(prompt.service).add(waiting.work, now)
+            self._unmet_rate(prompt.service).add(entry.work, now)
         return failure
 
-    def _unmet(self, service: str) -> DecayingRate:
-        return self._unmet_by_service.setdefault(service, DecayingRate(UNMET_HORIZON))
+    def _unmet_rate(self, service: str) -> DecayingRate:
+        return self._unmet_rate_by_service.setdefault(
+            service, DecayingRate(UNMET_WORK_HORIZON)
+        )
 
     def unmet(self, service: str, now: float) -> float:
-        """Tell the engine seconds of reading turned away here, a second."""
-        return self._unmet(service).value(now)
+        """Return the rate of rejected prefill work, in engine seconds per second."""
+        return self._unmet_rate(service).value(now)
 
-    def _work_ahead(self, waiting: _Waiting, now: float) -> float:
+    def _wait_ahead(self, entry: _QueueEntry, now: float) -> float:
         """
-        Predict how long the prompts that go first keep the engines busy.
+        Predict how long higher-ranked prompts keep the engines busy.
 
-        Of what waits at other gateways the same share goes first as of what waits
-        here. Without it each gateway saw its own queue only and turned away too late:
-        over four gateways, four seeds each, worth was 0.804 instead of 0.821 in bursts
-        and 0.576 instead of 0.599 in lasting overload (make replay).
+        The fraction of work that runs first is assumed to be the same at other
+        gateways as in the local queue. Without that share, each gateway counted only
+        its own queue and rejected too late, so that the requests served had less value
+        in total, both in bursts and in sustained overload.
         """
-        service = waiting.prompt.service
-        here = ahead = 0.0
-        for other in self._waiting_by_id.values():
+        service = entry.prompt.service
+        queued = ahead = 0.0
+        for other in self._entries_by_id.values():
             if other.prompt.service == service:
-                here += other.work
-                ahead += other.work if other.rank <= waiting.rank else 0.0
-        share = (ahead + USUAL_SHARE * waiting.work) / (here + waiting.work)
-        return self._placer.wait_behind(service, ahead, share, now)
+                queued += other.work
+                ahead += other.work if other.rank <= entry.rank else 0.0
+        share = (ahead + DEFAULT_SHARE_AHEAD * entry.work) / (queued + entry.work)
+        return self._placer.expected_wait(service, ahead, share, now)
 
     def waiting_work(self) -> dict[str, float]:
-        """Tell how many engine seconds of reading wait here, by service."""
+        """Return the queued prefill work in engine seconds, by service."""
         work_by_service: dict[str, float] = {}
-        for waiting in self._waiting_by_id.values():
-            service = waiting.prompt.service
-            work = work_by_service.get(service, 0.0) + waiting.work
+        for entry in self._entries_by_id.values():
+            service = entry.prompt.service
+            work = work_by_service.get(service, 0.0) + entry.work
             work_by_service[service] = work
         return work_by_service
 
     def _refusal(
-        self, prompt: WaitingPrompt, placement: Placement, begins_at: float, now: float
+        self,
+        prompt: WaitingPrompt,
+        placement: Placement,
+        decode_starts_at: float,
+        now: float,
     ) -> Failure | None:
         """
-        Turn a prompt away that would be read too late, once readings were timed.
+        Reject a prompt whose decoding would start too late.
 
-        A prompt whose own reading takes longer than the latency target is given that
-        time too, so that large ones are not turned away for their size alone.
+        Nothing is rejected until prefill times have been measured. A prompt whose own
+        prefill takes longer than the latency target is allowed that time as well, so
+        that large prompts are not rejected for their size alone.
         """
         if not placement.estimate.is_timed:
             return None
         own_work = placement.estimate.work_time(placement.tokens)
-        allowed = self._settings.late_factor * prompt.latency_target
-        allowed = max(allowed, LARGE_FACTOR * own_work)
-        latest = min(prompt.arrived_at + allowed, prompt.due_at)
-        if begins_at <= latest:
+        max_delay = self._settings.late_factor * prompt.latency_target
+        max_delay = max(max_delay, LARGE_PROMPT_FACTOR * own_work)
+        latest_start = min(prompt.arrived_at + max_delay, prompt.due_at)
+        if decode_starts_at <= latest_start:
             return None
-        pause = min(MAX_PAUSE, max(MIN_PAUSE, begins_at - prompt.on_time_until))
+        retry_after = min(
+            MAX_RETRY_AFTER,
+            max(MIN_RETRY_AFTER, decode_starts_at - prompt.on_time_until),
+        )
         return CannotBeInTime(
-            f"would be read in {begins_at - now:.2f} s, {latest - now:.2f} s are left",
-            pause,
+            f"decoding could start in {decode_starts_at - now:.2f} s, "
+            f"only {latest_start - now:.2f} s remain",
+            retry_after,
         )
 
-    def next(self, now: float) -> tuple[WaitingPrompt, Placement] | None:
+    def pop_next(self, now: float) -> tuple[WaitingPrompt, Placement] | None:
         """
-        Take the next prompt that an engine has room for.
+        Remove and return the highest-ranked prompt that an engine has room for.
 
-        :returns: the prompt, which waits no more, and its place.
+        :returns: the prompt and its placement; ``None`` if no prompt can be sent now.
         """
-        if not self._waiting_by_id or not self._has_room(now):
+        if not self._entries_by_id or not self._has_room(now):
             return None
-        first = nsmallest(
-            MAX_CANDIDATES, self._waiting_by_id.values(), key=lambda item: item.rank
+        candidates = nsmallest(
+            MAX_CANDIDATES, self._entries_by_id.values(), key=lambda item: item.rank
         )
-        found = [waiting for waiting in first if self._predict(waiting, now)]
-        for waiting in sorted(found, key=lambda item: item.rank):
-            if waiting.placement.estimate.backlog(now) <= self._settings.depth:
-                del self._waiting_by_id[waiting.prompt.request_id]
-                self._taken += 1
-                return waiting.prompt, waiting.placement
+        placeable = [entry for entry in candidates if self._predict(entry, now)]
+        for entry in sorted(placeable, key=lambda item: item.rank):
+            if entry.placement.estimate.backlog(now) <= self._settings.depth:
+                del self._entries_by_id[entry.prompt.request_id]
+                self._dispatch_count += 1
+                return entry.prompt, entry.placement
         return None
 
-    def _predict(self, waiting: _Waiting, now: float) -> bool:
+    def _predict(self, entry: _QueueEntry, now: float) -> bool:
         """
-        Predict a prompt's place anew, unless that was done at this very moment.
+        Recompute an entry's placement unless the cached one is still valid.
 
-        Half of the predictions of a gateway were made twice, as a prompt came and as
-        it was sent on; one takes 0.3 ms.
+        A prediction takes 0.3 ms. Without the check, half of a gateway's predictions
+        were made twice: once on arrival of a prompt and once on its dispatch.
 
-        :returns: whether there is a place.
+        :returns: whether an engine was found.
         """
-        rests_on = (now, self._taken)
-        if waiting.rests_on == rests_on:
+        prediction_key = (now, self._dispatch_count)
+        if entry.prediction_key == prediction_key:
             return True
-        placement = self._placer.best(waiting.prompt, now)
+        placement = self._placer.best(entry.prompt, now)
         if placement is not None:
-            waiting.predict(placement, rests_on)
+            entry.predict(placement, prediction_key)
         return placement is not None
 
     def _has_room(self, now: float) -> bool:
-        services = {item.prompt.service for item in self._waiting_by_id.values()}
+        services = {item.prompt.service for item in self._entries_by_id.values()}
         return any(
             engine.backlog(now) <= self._settings.depth
             for service in services
             for engine in self._placer.engines(service, now)
         )
 
-    def hopeless(self, now: float) -> list[WaitingPrompt]:
+    def pop_unservable(self, now: float) -> list[WaitingPrompt]:
         """
-        Take out prompts that cannot be read before they are due.
+        Remove and return prompts whose prefill cannot end before they are due.
 
-        Those whose own reading takes too long by now are all found, and all of a
-        service without engines; how long they wait for their engine is predicted
-        anew for a few, in turn.
+        Every call finds all prompts whose own prefill time exceeds the time left. The
+        wait for an engine is recomputed for a few prompts per call, in rotation; if one
+        of them finds its service without engines, all prompts of that service go.
         """
-        hopeless = {
+        unservable = {
             request_id
-            for request_id, waiting in self._waiting_by_id.items()
-            if now + waiting.work > waiting.prompt.due_at
+            for request_id, entry in self._entries_by_id.items()
+            if now + entry.work > entry.prompt.due_at
         }
-        for request_id in list(self._waiting_by_id)[:MAX_CHECKED]:
-            self._waiting_by_id.move_to_end(request_id)
-            waiting = self._waiting_by_id[request_id]
-            placement = self._placer.best(waiting.prompt, now)
+        for request_id in list(self._entries_by_id)[:MAX_EXPIRY_CHECKS]:
+            self._entries_by_id.move_to_end(request_id)
+            entry = self._entries_by_id[request_id]
+            placement = self._placer.best(entry.prompt, now)
             if placement is None:
-                hopeless |= self._of_service(waiting.prompt.service)
-            elif placement.done_at > waiting.prompt.due_at:
-                hopeless.add(request_id)
+                unservable |= self._request_ids_of(entry.prompt.service)
+            elif placement.done_at > entry.prompt.due_at:
+                unservable.add(request_id)
             else:
-                waiting.predict(placement, (now, self._taken))
-        found = [name for name in self._waiting_by_id if name in hopeless]
-        return [self._waiting_by_id.pop(name).prompt for name in found]
+                entry.predict(placement, (now, self._dispatch_count))
+        removed = [
+            entry_id for entry_id in self._entries_by_id if entry_id in unservable
+        ]
+        return [self._entries_by_id.pop(entry_id).prompt for entry_id in removed]
 
-    def _of_service(self, service: str) -> set[str]:
+    def _request_ids_of(self, service: str) -> set[str]:
         return {
             request_id
-            for request_id, waiting in self._waiting_by_id.items()
-            if waiting.prompt.service == service
+            for request_id, entry in self._entries_by_id.items()
+            if entry.prompt.service == service
         }
 
-    def drop(self, request_id: str) -> None:
-        """Let a prompt wait no more."""
-        self._waiting_by_id.pop(request_id, None)
+    def remove(self, request_id: str) -> None:
+        """Remove a prompt if it is still queued."""
+        self._entries_by_id.pop(request_id, None)
--- a/pimentolink/prefillscheduler.py
+++ b/pimentolink/prefillscheduler.py
@@ -1,4 +1,4 @@
-"""Lets prompts wait for an engine, and has them read there."""
+"""Queues prompts until an engine has room and tracks prefills in progress."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 from pimentolink.targetestimate import prefill_ticket
 from pimentolink.timers import Timer, Timers
 
-# Seconds between two looks at the queue when nothing happens; predictions shift with
-# time alone.
-LOOK_INTERVAL = 0.05
+# Seconds between two polls of a non-empty queue. Without any event, predictions still
+# change as time passes.
+POLL_INTERVAL = 0.05
 
 
 class Ticket:
-    """A reading that an engine was given, from its sending to its end."""
+    """A prefill sent to an engine, from its dispatch to its end."""
 
     def __init__(
         self, number: int, request_id: str, placement: Placement, began_at: float
     ) -> None:
         """
-        Record what was predicted.
+        Record the prediction made at dispatch.
 
-        :param number: of the reading, among this gateway's.
-        :param request_id: whose prompt is read.
-        :param placement: where it is read.
-        :param began_at: seconds of the timer service.
+        :param number: sequence number of the prefill within this gateway process.
+        :param request_id: request that the prompt belongs to.
+        :param placement: engine and predicted times.
+        :param began_at: time of dispatch, in seconds of the timer service.
         """
         self.number = number
         self.request_id = request_id
@@ -51,29 +51,30 @@
 
 
 class PrefillScheduler:
-    """The queue of this gateway with the loop that empties it."""
+    """Dispatches queued prompts to engines as these get room."""
 
     def __init__(
         self,
         queue: PrefillQueue,
-        news: PeerPublisher,
+        publisher: PeerPublisher,
         timers: Timers,
         log: Log,
         gateway: str,
         own_delay: GatewayDelay,
     ) -> None:
         """
-        Start empty.
+        Create a scheduler without waiting prompts.
 
-        :param queue: decides.
-        :param news: tells other gateways.
+        :param queue: orders, admits and rejects prompts.
+        :param publisher: informs other gateways of prefills.
         :param timers: the timer service.
-        :param log: where events go.
-        :param gateway: this process's life, which names its readings.
-        :param own_delay: learns what they take beyond their engine's time.
+        :param log: receives log events.
+        :param gateway: identifies this incarnation of the gateway process; part of the
+            name of each prefill.
+        :param own_delay: learns the delay that this gateway adds to prefills.
         """
         self._queue = queue
-        self._news = news
+        self._publisher = publisher
         self._timers = timers
         self._log = log
         self._gateway = gateway
@@ -88,52 +89,54 @@
         """
         Wait until an engine has room for a prompt.
 
-        :returns: where it is to be read.
-        :raises CannotBeInTime: once it is known that it cannot be served.
-        :raises NoTarget: if no engine takes work.
+        :returns: the dispatched prefill.
+        :raises CannotBeInTime: once the prompt can no longer be served in time.
+        :raises NoTarget: if no engine accepts work.
         """
 
-        def left(_: Deferred[Ticket]) -> None:
-            self._queue.drop(prompt.request_id)
+        def on_cancel(_: Deferred[Ticket]) -> None:
+            self._queue.remove(prompt.request_id)
             self._waiters_by_id.pop(prompt.request_id, None)
 
-        waiter: Deferred[Ticket] = Deferred(left)
+        waiter: Deferred[Ticket] = Deferred(on_cancel)
         now = self._timers.now()
         refused = self._queue.add(prompt, now)
         if refused is not None:
-            self._tell_refusal(prompt, refused)
+            self._log_refusal(prompt, refused)
             waiter.errback(refused)
             return waiter
         self._waiters_by_id[prompt.request_id] = waiter
-        self._send_on(now)
+        self._dispatch_ready(now)
         return waiter
 
     def look(self) -> None:
-        """Send what has room."""
+        """Dispatch the prompts that engines have room for."""
         if not self._waiters_by_id:
             return
-        self._send_on(self._timers.now())
+        self._dispatch_ready(self._timers.now())
 
-    def _send_on(self, now: float) -> None:
-        while (found := self._queue.next(now)) is not None:
+    def _dispatch_ready(self, now: float) -> None:
+        while (found := self._queue.pop_next(now)) is not None:
             prompt, placement = found
-            ticket = self._begin(prompt, placement, now)
+            ticket = self._start_prefill(prompt, placement, now)
             self._waiters_by_id.pop(prompt.request_id).callback(ticket)
         if self._waiters_by_id and self._timer is None:
-            self._timer = self._timers.call_later(LOOK_INTERVAL, self._look_again)
+            self._timer = self._timers.call_later(POLL_INTERVAL, self._on_poll_timer)
 
-    def _look_again(self) -> None:
+    def _on_poll_timer(self) -> None:
         self._timer = None
-        self._refuse_hopeless()
+        self._refuse_unservable()
         self.look()
 
-    def _refuse_hopeless(self) -> None:
-        for prompt in self._queue.hopeless(self._timers.now()):
-            failure = CannotBeInTime("the engines fell behind", USUAL_PAUSE)
-            self._tell_refusal(prompt, failure)
+    def _refuse_unservable(self) -> None:
+        for prompt in self._queue.pop_unservable(self._timers.now()):
+            failure = CannotBeInTime("engines have fallen behind schedule", USUAL_PAUSE)
+            self._log_refusal(prompt, failure)
             self._waiters_by_id.pop(prompt.request_id).errback(failure)
 
-    def _begin(self, prompt: WaitingPrompt, placement: Placement, now: float) -> Ticket:
+    def _start_prefill(
+        self, prompt: WaitingPrompt, placement: Placement, now: float
+    ) -> Ticket:
         number = self._next_number
         self._next_number += 1
         self._open_numbers.add(number)
@@ -146,7 +149,7 @@
             placement.copied_tokens,
             placement.way,
         )
-        self._news.broadcast(
+        self._publisher.broadcast(
             PrefillStarted(
                 number,
                 estimate.target.key,
@@ -173,14 +176,14 @@
         return Ticket(number, prompt.request_id, placement, now)
 
     def open_prefills(self) -> OpenPrefills:
-        """Tell which readings of this gateway have not ended."""
+        """Return the prefills of this gateway that have not ended."""
         return OpenPrefills(self._next_number, sorted(self._open_numbers))
 
     def end(self, ticket: Ticket, is_good: bool) -> None:
         """
-        Count a reading no more.
+        Record the end of a prefill.
 
-        :param is_good: whether it came to its end, so that its time can be learned.
+        :param is_good: whether it completed, so that its duration can be learned.
         """
         if ticket.is_over:
             return
@@ -188,14 +191,17 @@
         estimate = ticket.placement.estimate
         now = self._timers.now()
         self._open_numbers.discard(ticket.number)
-        name = prefill_ticket(self._gateway, ticket.number)
-        busy = estimate.end_prefill(name, is_good, now)
+        ticket_key = prefill_ticket(self._gateway, ticket.number)
+        busy = estimate.end_prefill(ticket_key, is_good, now)
         if is_good and ticket.was_timed:
-            # What was predicted before any reading was timed says nothing of this
-            # gateway: of 290 calm requests 3 were turned away for it.
+            # Predictions made before any prefill was measured say nothing about the
+            # delay of this gateway. When they were included, 3 of 290 requests were
+            # rejected at low load.
             self._own_delay.learn(now - ticket.placement.engine_done_at, now)
         target_id = estimate.target.target_id
-        self._news.broadcast(PrefillEnded(ticket.number, estimate.target.key, is_good))
+        self._publisher.broadcast(
+            PrefillEnded(ticket.number, estimate.target.key, is_good)
+        )
         self._log.write(
             LogEvent.READING_ENDED,
             request=ticket.request_id,
@@ -211,7 +217,7 @@
         )
         self.look()
 
-    def _tell_refusal(self, prompt: WaitingPrompt, failure: Failure) -> None:
+    def _log_refusal(self, prompt: WaitingPrompt, failure: Failure) -> None:
         self._log.write(
             LogEvent.PROMPT_REFUSED,
             request=prompt.request_id,
@@ -224,5 +230,5 @@
 
 
 def parts_of(parts: tuple[PromptPart, ...]) -> list[tuple[int, int]]:
-    """Write parts for another gateway."""
+    """Encode prompt parts for a message to another gateway."""
     return [(part.part_id, part.tokens) for part in parts]
