--- a/pimentolink/cells.py
+++ b/pimentolink/cells.py
@@ -1,4 +1,4 @@
-"""Divides a large deployment into cells whose gateways know each other's load."""
+"""Partitions a large deployment into cells whose gateways exchange their load."""
 
 from __future__ import annotations
 
@@ -6,44 +6,45 @@
 
 import xxhash
 
-# Gateways of one cell. Within it each gateway tells all others what it sends to which
-# target; a gateway that heard 32 of 67 others predicted readings 1.5 times too short
-# at the median and 5 times at 9 in 10. Telling grows with them: 300 that told each
-# other took 36 % of a core and 105 KB/s each.
+# Largest number of gateways in a cell. Each gateway sends its load on every target to
+# all others in the cell. Fewer lose accuracy: a gateway that received the load of 32 of
+# 67 others predicted prefill times 1.5 times too short at the median and 5 times at
+# 9 in 10. More cost too much: with 300 gateways in one cell, the updates took 36 % of a
+# core and 105 KB/s at each.
 MAX_GATEWAYS = 96
 
 
 class Cells:
     """
-    Tells which cell a gateway or target belongs to.
+    Assigns gateways and targets to cells.
 
-    Load pattern: hundreds of gateways before the same targets. Each cell has some of
-    the gateways and some of the targets, so that a target's load comes from gateways
-    that tell each other, whatever the size of the deployment. All gateways derive the
-    same cells from the list of gateways.
+    Load pattern: hundreds of gateways in front of the same targets. Each cell has some
+    of the gateways and some of the targets, so that a target's load comes from gateways
+    that exchange their load, whatever the size of the deployment. All gateways derive
+    the same cells from the list of gateways.
 
-    Whole data centres make up a cell where there are enough of them; else gateways and
-    targets are spread by their names.
+    A cell consists of whole data centres if there are at least as many data centres as
+    cells; otherwise gateways and targets are assigned by a hash of their names.
     """
 
     def __init__(self, max_gateways: int = MAX_GATEWAYS) -> None:
         """
-        Start with one cell.
+        Create a single cell.
 
-        :param max_gateways: of a cell, about.
+        :param max_gateways: approximate number of gateways in a cell at most.
         """
-        self._most = max_gateways
+        self._max_gateways = max_gateways
         self._cell_by_data_centre: dict[str, int] = {}
         self.count = 1
 
     def divide(self, data_centres_by_gateway: Mapping[str, str]) -> bool:
         """
-        Learn which gateways there are.
+        Derive the cells from the current list of gateways.
 
-        :returns: whether cells have changed.
+        :returns: whether the cells have changed.
         """
         before = self.count, self._cell_by_data_centre
-        self.count = max(1, -(-len(data_centres_by_gateway) // self._most))
+        self.count = max(1, -(-len(data_centres_by_gateway) // self._max_gateways))
         names = sorted(set(data_centres_by_gateway.values()))
         self._cell_by_data_centre = {}
         if len(names) >= self.count:
@@ -54,7 +55,7 @@
         return before != (self.count, self._cell_by_data_centre)
 
     def of(self, name: str, data_centre: str) -> int:
-        """Tell the cell of a gateway or target."""
+        """Return the number of the cell of a gateway or target."""
         if self.count == 1:
             return 0
         cell = self._cell_by_data_centre.get(data_centre)
--- a/pimentolink/dialect.py
+++ b/pimentolink/dialect.py
@@ -1,4 +1,4 @@
-"""What a deployment's wire format must tell the system, apart from its names."""
+"""Interface to a deployment's wire format, independent of its header names."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
     from pimentolink.targetestimate import EngineReport, EngineRole, TargetEstimate
 
 
-# Bytes of a fingerprint; nobody can make a request that has another one's.
+# Size of a fingerprint in bytes; long enough that nobody can construct a request with
+# the fingerprint of another one.
 FINGERPRINT_BYTES = 16
 
 
 class PromptPart(NamedTuple):
-    """A part of a prompt, which other prompts may share."""
+    """A part of a prompt, which other prompts may have in common with it."""
 
     part_id: int
     tokens: int
@@ -30,18 +31,19 @@
     """
     A caller's request.
 
-    :ivar request_id: of this attempt of the caller.
-    :ivar http: as it came.
-    :ivar host: that the caller named, without a port.
-    :ivar path: with the query.
-    :ivar arrived_at: seconds of the timer service.
+    :ivar request_id: id of this attempt by the caller.
+    :ivar http: the HTTP request as received.
+    :ivar host: host that the caller named, without a port.
+    :ivar path: path with the query.
+    :ivar arrived_at: time of arrival in seconds of the timer service.
     :ivar patience: seconds that the caller waits; ``None`` if it did not say.
-    :ivar parts: of the prompt, in order; the last is the request's own.
-    :ivar prompt_tokens: of the whole prompt.
-    :ivar output_tokens: most that the caller takes.
-    :ivar last_event: id of the last event that the caller has, if it resumes.
-    :ivar organisation: that holds the caller's API key; empty if none is asked for.
-    :ivar fingerprint: names what is asked; see :func:`fingerprint_of`.
+    :ivar parts: parts of the prompt in order; the last one is specific to the request.
+    :ivar prompt_tokens: length of the whole prompt in tokens.
+    :ivar output_tokens: maximum length of the response in tokens.
+    :ivar last_event: id of the last event that the caller received, if it resumes a
+        stream.
+    :ivar organisation: owner of the caller's API key; empty if no key is required.
+    :ivar fingerprint: digest of the request's content; see :func:`fingerprint_of`.
     """
 
     request_id: str
@@ -60,15 +62,20 @@
 
 def fingerprint_of(request: HttpRequest, host: str, organisation: str = "") -> str:
     """
-    Name what is asked: the same whenever the same thing is asked again.
+    Return a digest of a request, equal for requests with the same content.
 
-    :param host: that the caller named, without a port.
-    :param organisation: that asks.
+    :param host: host that the caller named, without a port.
+    :param organisation: organisation that sends the request.
     """
     digest = blake2b(digest_size=FINGERPRINT_BYTES)
-    asked = (request.method, host.encode(), request.path, organisation.encode())
-    for part in asked:
-        # None of them holds a zero byte, so that they do not run into each other.
+    identity_fields = (
+        request.method,
+        host.encode(),
+        request.path,
+        organisation.encode(),
+    )
+    for part in identity_fields:
+        # No field contains a zero byte, so the separator keeps the fields distinct.
         digest.update(part + b"\0")
     digest.update(request.body)
     return digest.hexdigest()
@@ -76,14 +83,17 @@
 
 class Sending(NamedTuple):
     """
-    One request to one target.
+    Options of a request to one target.
 
     :ivar time_left: seconds that the target may take.
     :ivar priority: 0 is the most urgent; ``None`` leaves it to the target.
-    :ivar is_prefill: only the prompt is to be read, for another engine.
-    :ivar cache_source: a read prompt to fetch, as the dialect names it.
-    :ivar copy_from: address of an engine that probably holds parts of the prompt.
-    :ivar last_event: the answer is to go on after this event.
+    :ivar is_prefill: whether the engine should only prefill the prompt, for another
+        engine to decode.
+    :ivar cache_source: KV cache of a prefilled prompt to fetch, as named by
+        :meth:`Dialect.cache_source`; empty for none.
+    :ivar copy_from: address of an engine that probably holds parts of the prompt in its
+        cache; empty for none.
+    :ivar last_event: id of the event after which a resumed stream continues.
     """
 
     target_id: str
@@ -97,9 +107,10 @@
 
 class PrefilledPrompt(NamedTuple):
     """
-    A prompt whose KV cache waits at the engine that read it.
+    A prompt whose KV cache is held at the engine that prefilled it.
 
-    :ivar handle: names it there.
+    :ivar handle: identifier of the KV cache at that engine.
+    :ivar tokens: length in tokens.
     """
 
     handle: str
@@ -107,7 +118,7 @@
 
 
 class Verdict(enum.Enum):
-    """What an answer says of the request."""
+    """Outcome of a request according to a target's response."""
 
     SUCCESS = "success"
     FAILURE = "failure"
@@ -116,50 +127,50 @@
 
 
 class Dialect(Protocol):
-    """Reads and writes a deployment's headers and bodies."""
+    """Parses and builds the headers and bodies of a deployment's wire format."""
 
     def request_id(self, request: HttpRequest) -> str:
-        """Read the id of a caller's request; empty if it has none."""
+        """Return the id of a caller's request; empty if it has none."""
 
     def read_request(
         self, request: HttpRequest, now: float
     ) -> Result[CallerRequest, InvalidRequest]:
-        """Read what the system needs to know of a caller's request."""
+        """Parse a caller's request."""
 
     def sending(self, request: CallerRequest, sending: Sending) -> HttpRequest:
-        """Write a request for a target."""
+        """Build the request to a target."""
 
     def belongs(self, request: CallerRequest, head: ReplyHead) -> bool:
-        """Tell whether an answer belongs to a request."""
+        """Return whether a response belongs to a request."""
 
     def verdict(self, head: ReplyHead) -> Verdict:
-        """Tell what an answer says of the request."""
+        """Return the outcome that a response reports."""
 
     def is_signed(self, head: ReplyHead) -> bool:
-        """Tell whether a target vouches for an answer."""
+        """Return whether a target vouches for a response by its signature."""
 
     def read_prompt(self, reply: HttpReply) -> Result[PrefilledPrompt, ReplyInvalid]:
-        """Read the answer to a reading."""
+        """Parse the response to a prefill request."""
 
     def cache_source(self, address: str, prompt: PrefilledPrompt) -> str:
-        """Name a KV cache for the engine that is to fetch it."""
+        """Return the reference to a KV cache for the engine that is to fetch it."""
 
     def drop_cache(self, address: str, prompt: PrefilledPrompt) -> HttpRequest:
-        """Write the request that frees a KV cache which nobody will fetch."""
+        """Build the request that frees a KV cache that no engine will fetch."""
 
     def ask_parts(self, estimate: TargetEstimate) -> HttpRequest:
-        """Write the question what an engine's memory holds."""
+        """Build the request for the contents of an engine's prefix cache."""
 
     def read_parts(
         self, reply: HttpReply
     ) -> Result[tuple[PromptPart, ...], ReplyInvalid]:
-        """Read what an engine's memory holds, the least recently used first."""
+        """Parse the contents of a prefix cache, least recently used part first."""
 
     def ask_report(self, estimate: TargetEstimate) -> HttpRequest:
-        """Write the request for an engine's report."""
+        """Build the request for an engine's report of its state."""
 
     def read_report(self, reply: HttpReply) -> Result[EngineReport, ReplyInvalid]:
-        """Read an engine's report."""
+        """Parse an engine's report."""
 
     def change_role(
         self,
@@ -170,10 +181,13 @@
         fence: int,
     ) -> HttpRequest:
         """
-        Write the order that changes an engine's role.
+        Build the order to change an engine's role.
 
-        The engine refuses it if it has accepted another order since its report.
+        The engine rejects it if it has accepted another order since its report.
+
+        :param holder: name of the gateway that holds the lease to give orders.
+        :param fence: fencing token of that lease.
         """
 
     def order_outcome(self, reply: HttpReply) -> Result[None, OrderRefused]:
-        """Read the answer to an order."""
+        """Parse the response to an order."""
--- a/pimentolink/rolebalance.py
+++ b/pimentolink/rolebalance.py
@@ -1,4 +1,4 @@
-"""Decides how many engines of a service read prompts and how many write answers."""
+"""Balances the prefill and decode roles among the engines of a service."""
 
 from __future__ import annotations
 
@@ -10,19 +10,20 @@
 from pimentolink.gatewaysettings import RoleSettings
 from pimentolink.targetestimate import EngineRole, TargetEstimate
 
-# Share of a change's price that is paid even for an engine that has been idle: its
-# answers in flight, and the order itself.
-MIN_PRICE = 0.2
+# Smallest share of the cost of a change that is charged for an idle engine, since its
+# responses in flight must end and the order itself takes time.
+MIN_CHANGE_COST_SHARE = 0.2
 
 
 class RoleChange(NamedTuple):
     """
-    An engine that should take another role.
+    A decision to change the role of one engine.
 
-    :ivar streams: answers being written, on which the decision rests.
-    :ivar unmet: engine seconds a second of prompts turned away, likewise.
-    :ivar regret: engine seconds that the roles as they are have cost so far.
-    :ivar readers: wanted of the service's engines.
+    :ivar streams: responses being generated when the decision was taken.
+    :ivar unmet: prefill work of rejected prompts at that time, in engine seconds per
+        second.
+    :ivar regret: engine seconds that the current roles have cost so far.
+    :ivar readers: number of prefill engines that the service should have.
     """
 
     estimate: TargetEstimate
@@ -33,24 +34,24 @@
     readers: int
 
 
-class _Service:
+class _ServiceState:
     """
-    What was observed of one service.
+    Observed load of one service.
 
-    :ivar regret: engine seconds by which writers were short beyond readers; below
-        zero where readers were.
-    :ivar reader_use: share of the time for which readers were busy; all of it while
-        no prompt was seen there, which says nothing of them.
+    :ivar regret: decayed sum of the engine seconds that decode engines lacked, minus
+        those that prefill engines lacked.
+    :ivar prefill_utilization: share of the time for which prefill engines were busy;
+        stays at 1 until they get their first prompt, as it is unknown before.
     """
 
     def __init__(self) -> None:
         self.streams = 0.0
         self.unmet = 0.0
         self.regret = 0.0
-        self.has_worked = False
-        self.has_read = False
-        self.reader_use = 1.0
-        # Engines on their way to another role, which the list tells late.
+        self.has_had_load = False
+        self.has_had_prefills = False
+        self.prefill_utilization = 1.0
+        # Engines that are changing their role; the list of instances shows it late.
         self.changing_by_id: dict[str, EngineRole] = {}
         self.observed_at: float | None = None
         self.changed_at: float | None = None
@@ -58,184 +59,227 @@
 
 class RoleBalancer:
     """
-    Changes a role once keeping it has cost more than the change.
-
-    Load pattern: long prompts with short answers and long answers by turns, for
-    seconds each. A change takes an engine away while its answers end and while it
-    switches, and the turn back does the same; a swing that is over before that is
-    paid for is not followed. What readers are short of is told by prompts turned
-    away, what writers are short of by answers that have no slot. A prompt that is
-    read at a writer is no answer under way: counted as one, a burst of prompts made
-    writers of readers, three of four within 7 s, and the rest of it was turned away.
+    Changes an engine's role once keeping it has cost more than the change.
+
+    Load pattern: phases of a few seconds each, alternating between long prompts with
+    short responses and long responses. A change makes an engine unavailable while its
+    responses end and while it switches, and changing it back does so again, so a phase
+    that is too short to recover this cost causes no change. Rejected prompts measure
+    the shortage of prefill engines, responses without a slot that of decode engines.
+    A prefill at a decode engine is not counted as a response: with such counting, a
+    burst of prompts turned three of four prefill engines into decode engines within
+    7 s, and the rest of the burst was rejected.
     """
 
     def __init__(self, settings: RoleSettings, fleet: Fleet) -> None:
         """
-        Start without knowledge of load.
+        Create a balancer without observations.
 
         :param settings: shares, horizon and pauses.
-        :param fleet: the engines.
+        :param fleet: the known engines.
         """
         self._settings = settings
         self._fleet = fleet
-        self._services_by_name: dict[str, _Service] = {}
-        # Engine seconds a second of prompts that all gateways turn away.
+        self._services_by_name: dict[str, _ServiceState] = {}
+        # Returns the prefill work rejected by all gateways (engine seconds per second).
         self.unmet_prefill: Callable[[str], float] = lambda service: 0.0
 
     def observe(self, service: str, now: float) -> None:
-        """Learn what writers and readers are short of; at a steady pace."""
-        seen = self._services_by_name.setdefault(service, _Service())
-        writers = self._of_role(service, EngineRole.DECODE)
-        readers = self._of_role(service, EngineRole.PREFILL)
-        seen.streams = float(sum(writer.streams() for writer in writers))
-        seen.unmet = self.unmet_prefill(service)
-        if seen.streams or any(engine.prefills_by_ticket for engine in readers):
-            seen.has_worked = True
-        passed = now - (now if seen.observed_at is None else seen.observed_at)
-        seen.observed_at = now
-        self._observe_readers(seen, readers, passed, now)
-        if not writers:
+        """Record the shortage of decode and prefill engines; called periodically."""
+        state = self._services_by_name.setdefault(service, _ServiceState())
+        decode_engines = self._of_role(service, EngineRole.DECODE)
+        prefill_engines = self._of_role(service, EngineRole.PREFILL)
+        state.streams = float(
+            sum(decode_engine.streams() for decode_engine in decode_engines)
+        )
+        state.unmet = self.unmet_prefill(service)
+        if state.streams or any(
+            engine.prefills_by_ticket for engine in prefill_engines
+        ):
+            state.has_had_load = True
+        elapsed = now - (now if state.observed_at is None else state.observed_at)
+        state.observed_at = now
+        self._observe_prefill_engines(state, prefill_engines, elapsed, now)
+        if not decode_engines:
             return
-        short = max(0.0, seen.streams / self._slots(writers) - len(writers))
-        seen.regret *= math.exp(-passed / self._settings.horizon)
-        seen.regret += passed * (short - seen.unmet)
+        shortage = max(
+            0.0, state.streams / self._slots(decode_engines) - len(decode_engines)
+        )
+        state.regret *= math.exp(-elapsed / self._settings.horizon)
+        state.regret += elapsed * (shortage - state.unmet)
 
-    def _observe_readers(
-        self, seen: _Service, readers: list[TargetEstimate], passed: float, now: float
+    def _observe_prefill_engines(
+        self,
+        state: _ServiceState,
+        prefill_engines: list[TargetEstimate],
+        elapsed: float,
+        now: float,
     ) -> None:
-        busy = sum(engine.backlog(now) > 0 for engine in readers)
-        seen.has_read = seen.has_read or busy > 0
-        if seen.has_read and readers:
-            weight = 1 - math.exp(-passed / self._settings.horizon)
-            seen.reader_use += weight * (busy / len(readers) - seen.reader_use)
+        busy = sum(engine.backlog(now) > 0 for engine in prefill_engines)
+        state.has_had_prefills = state.has_had_prefills or busy > 0
+        if state.has_had_prefills and prefill_engines:
+            weight = 1 - math.exp(-elapsed / self._settings.horizon)
+            state.prefill_utilization += weight * (
+                busy / len(prefill_engines) - state.prefill_utilization
+            )
 
     def decide(self, service: str, now: float) -> RoleChange | None:
         """
-        Find the change that is most wanted now.
+        Return the most urgent role change.
 
-        :returns: ``None`` while roles are right, or one changed a moment ago.
+        :returns: ``None`` if the roles fit the load, or during the pause after a
+            change.
         """
-        seen = self._services_by_name.setdefault(service, _Service())
-        self._forget_settled(service, seen, now)
-        if seen.changed_at is not None and now - seen.changed_at < self._settings.pause:
+        state = self._services_by_name.setdefault(service, _ServiceState())
+        self._update_changing(service, state, now)
+        if (
+            state.changed_at is not None
+            and now - state.changed_at < self._settings.pause
+        ):
             return None
-        return self._next_change(service, seen, seen.regret, now)
+        return self._next_change(service, state, state.regret, now)
 
     def decide_all(self, service: str, now: float) -> list[RoleChange]:
         """
-        Find all changes that are wanted now, the most wanted first.
+        Return all role changes that are due, the most urgent first.
 
-        Load pattern: a large fleet that starts. One change a second took 11 s of its
-        first load, and each was told to all gateways by the store.
+        Load pattern: a large fleet that starts. With one change per second, the
+        changes lasted for the first 11 s of load, and the store notified all gateways
+        of each one.
 
-        :returns: at most a share of the engines, those on their way included.
+        :returns: so many that at most the configured share of the engines is changing
+            at a time, earlier changes included.
         """
         changes: list[RoleChange] = []
         change = self.decide(service, now)
-        seen = self._services_by_name[service]
-        regret = seen.regret
+        state = self._services_by_name[service]
+        regret = state.regret
         while change is not None:
             changes.append(change)
-            seen.changing_by_id[change.estimate.target.target_id] = change.role
-            regret -= self._paid(service, seen, regret)
-            change = self._next_change(service, seen, regret, now)
+            state.changing_by_id[change.estimate.target.target_id] = change.role
+            regret -= self._regret_covered(service, state, regret)
+            change = self._next_change(service, state, regret, now)
         return changes
 
     def _next_change(
-        self, service: str, seen: _Service, regret: float, now: float
+        self, service: str, state: _ServiceState, regret: float, now: float
     ) -> RoleChange | None:
-        readers = self._of_role(service, EngineRole.PREFILL)
-        writers = self._of_role(service, EngineRole.DECODE)
-        count = len(readers) + len(writers)
-        most = max(1, int(count * self._settings.most_changing))
-        if count < 2 or len(seen.changing_by_id) >= most:
+        prefill_engines = self._of_role(service, EngineRole.PREFILL)
+        decode_engines = self._of_role(service, EngineRole.DECODE)
+        count = len(prefill_engines) + len(decode_engines)
+        limit = max(1, int(count * self._settings.most_changing))
+        if count < 2 or len(state.changing_by_id) >= limit:
             return None
-        wanted = self._writers_wanted(service, seen, regret, readers, writers)
-        free_writers = [item for item in writers if not _is_changing(item, seen)]
-        free_readers = [item for item in readers if not _is_changing(item, seen)]
-        if len(writers) > wanted and free_writers:
-            idlest = min(free_writers, key=lambda engine: _spared(engine, writers))
-            return self._change(service, seen, idlest, EngineRole.PREFILL, wanted)
-        if len(writers) < wanted and free_readers:
-            idlest = min(free_readers, key=lambda engine: engine.backlog(now))
-            return self._change(service, seen, idlest, EngineRole.DECODE, wanted)
+        decode_engines_wanted = self._decode_engines_wanted(
+            service, state, regret, prefill_engines, decode_engines
+        )
+        free_decode_engines = [
+            item for item in decode_engines if not _is_changing(item, state)
+        ]
+        free_prefill_engines = [
+            item for item in prefill_engines if not _is_changing(item, state)
+        ]
+        if len(decode_engines) > decode_engines_wanted and free_decode_engines:
+            idlest = min(
+                free_decode_engines,
+                key=lambda engine: _reassignment_rank(engine, decode_engines),
+            )
+            return self._role_change(
+                service, state, idlest, EngineRole.PREFILL, decode_engines_wanted
+            )
+        if len(decode_engines) < decode_engines_wanted and free_prefill_engines:
+            idlest = min(free_prefill_engines, key=lambda engine: engine.backlog(now))
+            return self._role_change(
+                service, state, idlest, EngineRole.DECODE, decode_engines_wanted
+            )
         return None
 
     def begun(self, service: str, now: float) -> None:
-        """Learn that a change was ordered; what led to it is paid for."""
-        seen = self._services_by_name.setdefault(service, _Service())
-        seen.changed_at = now
-        seen.regret -= self._paid(service, seen, seen.regret)
+        """Record that a change was ordered, and subtract its cost from the regret."""
+        state = self._services_by_name.setdefault(service, _ServiceState())
+        state.changed_at = now
+        state.regret -= self._regret_covered(service, state, state.regret)
 
     def accepted(self, service: str, change: RoleChange) -> None:
-        """Learn that an engine is on its way to another role."""
-        seen = self._services_by_name.setdefault(service, _Service())
-        seen.changing_by_id[change.estimate.target.target_id] = change.role
+        """Record that an engine accepted an order and is changing its role."""
+        state = self._services_by_name.setdefault(service, _ServiceState())
+        state.changing_by_id[change.estimate.target.target_id] = change.role
 
-    def _writers_wanted(
+    def _decode_engines_wanted(
         self,
         service: str,
-        seen: _Service,
+        state: _ServiceState,
         regret: float,
-        readers: list[TargetEstimate],
-        writers: list[TargetEstimate],
+        prefill_engines: list[TargetEstimate],
+        decode_engines: list[TargetEstimate],
     ) -> int:
-        count = len(readers) + len(writers)
-        least = self._min_decode_engines(count)
-        if not seen.has_worked:
-            # Nothing is under way that a change could disturb.
-            return least
-        if len(writers) < least:
-            return len(writers) + 1
-        price = self._price(service)
-        if regret > self._reader_price(service, seen) and len(readers) > 1:
-            return len(writers) + 1
-        is_spare = seen.streams <= (len(writers) - 1) * self._slots(writers)
-        if regret < -price and is_spare and len(writers) > least:
-            return len(writers) - 1
-        return len(writers)
+        count = len(prefill_engines) + len(decode_engines)
+        minimum = self._min_decode_engines(count)
+        if not state.has_had_load:
+            # No request is in progress that a change could disturb.
+            return minimum
+        if len(decode_engines) < minimum:
+            return len(decode_engines) + 1
+        change_cost = self._change_cost(service)
+        if (
+            regret > self._prefill_engine_change_cost(service, state)
+            and len(prefill_engines) > 1
+        ):
+            return len(decode_engines) + 1
+        has_surplus = state.streams <= (len(decode_engines) - 1) * self._slots(
+            decode_engines
+        )
+        if regret < -change_cost and has_surplus and len(decode_engines) > minimum:
+            return len(decode_engines) - 1
+        return len(decode_engines)
 
     def _min_decode_engines(self, count: int) -> int:
-        least = math.ceil(count * self._settings.least_share)
+        minimum = math.ceil(count * self._settings.least_share)
         if count >= self._settings.least_from:
-            least = max(least, self._settings.least_count)
-        return min(count - 1, max(1, least))
+            minimum = max(minimum, self._settings.least_count)
+        return min(count - 1, max(1, minimum))
 
-    def _paid(self, service: str, seen: _Service, regret: float) -> float:
-        """Tell how much of a regret one change pays for."""
+    def _regret_covered(
+        self, service: str, state: _ServiceState, regret: float
+    ) -> float:
+        """Return the part of a regret that one change compensates."""
         return max(
-            -self._price(service), min(self._reader_price(service, seen), regret)
+            -self._change_cost(service),
+            min(self._prefill_engine_change_cost(service, state), regret),
         )
 
-    def _reader_price(self, service: str, seen: _Service) -> float:
+    def _prefill_engine_change_cost(self, service: str, state: _ServiceState) -> float:
         """
-        Tell the engine seconds of reading that are lost with a reader that writes.
+        Return the engine seconds of prefill lost by turning a prefill engine to decode.
 
-        Load pattern: long answers come in a burst while readers are mostly idle. At the
-        price of busy ones, 235 answers had 160 slots for 7 s before the first change.
+        Load pattern: a burst of long responses while prefill engines are mostly idle.
+        With the cost of busy engines, 235 responses shared 160 slots for 7 s before the
+        first change.
         """
-        return max(MIN_PRICE, seen.reader_use) * self._price(service)
+        return max(
+            MIN_CHANGE_COST_SHARE, state.prefill_utilization
+        ) * self._change_cost(service)
 
-    def _price(self, service: str) -> float:
-        """Tell the engine seconds that a change and its turn back take."""
+    def _change_cost(self, service: str) -> float:
+        """Return the engine seconds lost by changing a role and changing it back."""
         model = self._fleet.model(service)
         return 2 * model.switch_time if model is not None else 0.0
 
-    def _slots(self, writers: list[TargetEstimate]) -> float:
-        """Tell the answers that one writer may write at once."""
-        return max(1, writers[0].target.slots) * self._settings.fill
+    def _slots(self, decode_engines: list[TargetEstimate]) -> float:
+        """Return how many concurrent responses one decode engine should have."""
+        return max(1, decode_engines[0].target.slots) * self._settings.fill
 
-    def _forget_settled(self, service: str, seen: _Service, now: float) -> None:
-        """Keep only engines that are on their way, by whoever ordered them."""
+    def _update_changing(self, service: str, state: _ServiceState, now: float) -> None:
+        """Update the set of changing engines, whichever gateway ordered the change."""
         changing: dict[str, EngineRole] = {}
         for engine in self._fleet.of_service(service):
             if now < engine.changing_until:
                 name, role = engine.target.target_id, engine.target.role
-                changing[name] = seen.changing_by_id.get(name, role)
-        seen.changing_by_id = changing
+                changing[name] = state.changing_by_id.get(name, role)
+        state.changing_by_id = changing
 
     def _of_role(self, service: str, role: EngineRole) -> list[TargetEstimate]:
-        """List engines of a role, or on their way to it."""
+        """Return the engines that have a role or are changing to it."""
         changing_by_id = self._services_by_name[service].changing_by_id
         return [
             engine
@@ -245,33 +289,43 @@
             and engine.missing_since is None
         ]
 
-    def _change(
+    def _role_change(
         self,
         service: str,
-        seen: _Service,
+        state: _ServiceState,
         estimate: TargetEstimate,
         role: EngineRole,
-        wanted: int,
+        decode_engines_wanted: int,
     ) -> RoleChange:
-        readers = len(self._fleet.of_service(service)) - wanted
+        prefill_engine_count = (
+            len(self._fleet.of_service(service)) - decode_engines_wanted
+        )
         return RoleChange(
-            estimate, role, seen.streams, seen.unmet, seen.regret, readers
+            estimate,
+            role,
+            state.streams,
+            state.unmet,
+            state.regret,
+            prefill_engine_count,
         )
 
 
-def _is_changing(engine: TargetEstimate, seen: _Service) -> bool:
-    return engine.target.target_id in seen.changing_by_id
+def _is_changing(engine: TargetEstimate, state: _ServiceState) -> bool:
+    return engine.target.target_id in state.changing_by_id
 
 
-def _spared(engine: TargetEstimate, writers: list[TargetEstimate]) -> tuple[int, int]:
+def _reassignment_rank(
+    engine: TargetEstimate, decode_engines: list[TargetEstimate]
+) -> tuple[int, int]:
     """
-    Rank a writer that could read instead; the least is taken.
+    Return the sort key of a decode engine for a change to prefill, lowest first.
 
-    Data centres keep writers of their own, since fetches between them cost more.
+    Takes engines from the data centre with the most decode engines, so that each keeps
+    some: fetching KV cache from another data centre costs more.
     """
-    near = [
+    same_data_centre = [
         other
-        for other in writers
+        for other in decode_engines
         if other.target.data_centre == engine.target.data_centre
     ]
-    return -len(near), engine.load()
+    return -len(same_data_centre), engine.load()
--- a/pimentolink/routes.py
+++ b/pimentolink/routes.py
@@ -1,4 +1,4 @@
-"""Routes: which targets a caller's request may go to, and under which limits."""
+"""Routes: map callers' requests to services, with timeouts and other limits."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class Repeatability(enum.Enum):
-    """What may be repeated of a request once a target may have run it."""
+    """Whether a request may be sent again once a target may have executed it."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
 
 
 class WeightedService(NamedTuple):
-    """A service with its share of a route's requests."""
+    """A service and its share of a route's requests."""
 
     service: str
     weight: float
@@ -28,19 +28,21 @@
 
 class Route(NamedTuple):
     """
-    Requests of one host below one path.
-
-    :ivar services: where they go; more than one while a route is split.
-    :ivar repeatability: what may be repeated.
-    :ivar is_stream: whether the answer is a stream of events.
-    :ivar is_resumable: whether a broken stream may go on at another target.
-    :ivar is_generation: whether a model's engine answers.
-    :ivar timeout: seconds after which the caller gets a final answer.
-    :ivar latency_target: seconds within which an answer has its full worth; of a
-        stream, until its first event.
-    :ivar max_targets: targets that one request may be sent to.
+    Requests to one host below one path prefix, and how they are handled.
+
+    :ivar services: services that receive the requests; more than one during a traffic
+        split.
+    :ivar repeatability: whether a request may be repeated.
+    :ivar is_stream: whether the response is an event stream.
+    :ivar is_resumable: whether a broken stream may be resumed at another target.
+    :ivar is_generation: whether inference engines generate the response.
+    :ivar timeout: seconds after which the caller gets a final response.
+    :ivar latency_target: seconds within which a response has its full value; for a
+        stream, the time to its first event.
+    :ivar max_targets: number of targets that one request may be sent to.
     :ivar priority: 0 is the most urgent.
-    :ivar needs_key: whether callers present an API key where the configuration has any.
+    :ivar needs_key: whether callers must present an API key, if the configuration has
+        any keys.
     """
 
     name: str
@@ -59,9 +61,9 @@
 
     def pick_service(self, random: Random) -> str:
         """
-        Pick the service of one request by weight.
+        Pick the service for one request by weight.
 
-        :param random: seeded source.
+        :param random: seeded random generator.
         """
         if len(self.services) == 1:
             return self.services[0].service
@@ -71,11 +73,12 @@
 
 class EngineModel(NamedTuple):
     """
-    What is told of a service's engines.
+    Properties of the engines of a service.
 
-    :ivar cache_tokens: tokens that its memory holds.
+    :ivar cache_tokens: capacity of an engine's prefix cache in tokens.
     :ivar switch_time: seconds that a change of role takes.
-    :ivar copy_rate: tokens a second that go over the link between two engines.
+    :ivar copy_rate: transfer rate of KV cache between two engines, in tokens per
+        second.
     """
 
     cache_tokens: int
@@ -85,10 +88,12 @@
 
 class Service(NamedTuple):
     """
-    Targets that serve the same requests.
+    A group of targets that serve the same requests.
 
-    :ivar max_connections: that one target takes from all gateways together.
-    :ivar engine: for services of model engines.
+    :ivar max_connections: connections that one target accepts from all gateways
+        together.
+    :ivar engine: properties of the engines; ``None`` if the targets are no inference
+        engines.
     """
 
     name: str
@@ -98,9 +103,11 @@
 
 class CallerBounds(NamedTuple):
     """
-    What callers may send, and how long they may take.
+    Limits on the size and duration of callers' requests.
 
-    :ivar head_time: seconds that a request's head may take.
+    :ivar head_bytes: maximum size of a request's head.
+    :ivar body_bytes: maximum size of a request's body.
+    :ivar head_time: seconds within which a request's head must arrive.
     :ivar idle_time: seconds that a connection may stay unused.
     """
 
@@ -122,13 +129,13 @@
         api_keys: ApiKeys | None = None,
     ) -> None:
         """
-        Index the routes.
+        Build the indexes of routes and services.
 
-        :param version: rises with each change.
-        :param routes: in any order.
-        :param services: that they name.
-        :param bounds: on callers; ``None`` if the configuration states none.
-        :param api_keys: of organisations; ``None`` if callers need none.
+        :param version: version number; increases with each change.
+        :param routes: routes in any order.
+        :param services: services that the routes refer to.
+        :param bounds: limits on callers; ``None`` if the configuration has none.
+        :param api_keys: API keys of organisations; ``None`` if callers need no key.
         """
         self.version = version
         self.bounds = bounds
@@ -141,10 +148,10 @@
 
     def match(self, host: str, path: str) -> Result[Route, RouteUnknown]:
         """
-        Find the route with the longest prefix.
+        Find the route with the longest matching prefix.
 
-        :param host: that the caller named.
-        :param path: with or without a query.
+        :param host: host that the caller named.
+        :param path: path with or without a query.
         """
         routes_by_prefix = self._routes_by_host.get(host.lower(), {})
         bare_path = path.partition("?")[0]
@@ -158,20 +165,20 @@
 
 class RoutingTables:
     """
-    Holds the version in force.
+    Holds the current routing table.
 
-    Guards that a version never reverts within one life of the process.
+    Ensures that its version never decreases while the process runs.
     """
 
     def __init__(self) -> None:
-        """Start without a version."""
+        """Create a holder without a table."""
         self.table: RoutingTable | None = None
 
     def offer(self, table: RoutingTable) -> bool:
         """
-        Take a table if it is newer.
+        Replace the current table if the given one is newer.
 
-        :returns: whether it is now in force.
+        :returns: whether the table was replaced.
         """
         if self.table is not None and table.version <= self.table.version:
             return False
@@ -179,7 +186,7 @@
         return True
 
     def current(self) -> Result[RoutingTable, NoConfiguration]:
-        """Return the table in force."""
+        """Return the current table; an error before the first one has arrived."""
         if self.table is None:
             return Err(NoConfiguration("none has arrived yet", 0.5))
         return Ok(self.table)
--- a/pimentolink/targetestimate.py
+++ b/pimentolink/targetestimate.py
@@ -1,4 +1,4 @@
-"""What one gateway believes of one target: state, work under way, speed, health."""
+"""One gateway's estimate of a target: state, work in progress, speed and health."""
 
 from __future__ import annotations
 
@@ -13,20 +13,23 @@
 from pimentolink.prefixcache import PrefixCacheEstimate, PrefixCacheIndex
 from pimentolink.routes import EngineModel
 
-# Weight of one outcome in a target's share of failures; the last ten or so decide.
+# Weight of the latest outcome in the moving average of failures. Roughly the last ten
+# outcomes determine it.
 OUTCOME_SMOOTHING = 0.1
-# Seconds after which a reading that another gateway told of, and whose end was never
-# told, no longer counts, beyond its own work.
-LOST_END = 2.0
-# Seconds for which a target that refused a connection gets no work; then the next
-# request asks it again, so that it is used soon after it is back.
-REFUSAL_PAUSE = 0.25
-# Tokens a second of a target from which nothing is ever fetched.
-NO_COPY_RATE = 1e9
+# Seconds beyond three times its predicted time to completion after which a prefill no
+# longer counts. Without a limit, a prefill started by another gateway whose end message
+# was lost would count forever.
+PREFILL_EXPIRY_MARGIN = 2.0
+# Seconds for which a target that refused a connection gets no work. The next request
+# after that tries it again, so that a restarted target is soon back in use.
+CONNECTION_REFUSED_PAUSE = 0.25
+# Copy rate, in tokens per second, of a target without an engine model. Nothing is ever
+# fetched from such a target.
+DEFAULT_COPY_RATE = 1e9
 
 
 class EngineRole(enum.Enum):
-    """What an engine does; other targets have no role."""
+    """Role of an inference engine; other targets have none."""
 
     NONE = "none"
     PREFILL = "reader"
@@ -35,11 +38,11 @@
 
 class Target(NamedTuple):
     """
-    A target as it is listed.
+    A target as it stands in the list of instances.
 
     :ivar target_id: its name, which a restart may keep.
-    :ivar born: when this life of it began, in Unix milliseconds; 0 if it does not
-        tell. A later life knows nothing of the one before.
+    :ivar born: start time of this incarnation in Unix milliseconds; 0 if unknown. A
+        restarted target keeps no state of its previous incarnation.
     """
 
     target_id: str
@@ -53,17 +56,17 @@
 
     @property
     def key(self) -> int:
-        """Names this life of it to other gateways."""
+        """Key of this incarnation in messages between gateways."""
         return target_key(self.target_id, self.born)
 
 
 class EngineReport(NamedTuple):
     """
-    What an engine says of itself.
+    An engine's report of its own state.
 
-    :ivar is_busy: whether it carries out an order.
-    :ivar orders_accepted: since its start.
-    :ivar born: when that was, in Unix milliseconds; 0 if it does not tell.
+    :ivar is_busy: whether it is executing an order.
+    :ivar orders_accepted: number of orders accepted since its start.
+    :ivar born: start time of the engine in Unix milliseconds; 0 if unknown.
     """
 
     role: EngineRole
@@ -72,93 +75,98 @@
     born: int = 0
 
     def is_of(self, target: Target) -> bool:
-        """Tell whether the life that is listed said this, as far as both tell."""
+        """
+        Return whether the listed incarnation of a target sent this report.
+
+        An unknown start time on either side counts as a match.
+        """
         return not self.born or not target.born or self.born == target.born
 
 
-def prefill_ticket(life: str, number: int) -> str:
+def prefill_ticket(incarnation: str, number: int) -> str:
     """
-    Name a reading so that no other gateway has one of that name.
+    Return an identifier of a prefill that is unique across gateways.
 
-    :param life: of the gateway's process.
-    :param number: of the reading, among those of that life.
+    :param incarnation: identity of this incarnation of the gateway's process.
+    :param number: sequence number of the prefill within that incarnation.
     """
-    return f"{life}-{number}"
+    return f"{incarnation}-{number}"
 
 
 class Prefill(NamedTuple):
     """
-    A prompt that an engine reads or has waiting.
+    A prefill that is running or queued at an engine.
 
-    :ivar tokens: that it must read.
-    :ivar copied: tokens that it fetches from another engine first.
-    :ivar arrives_at: when the engine has the prompt; it was not busy with it before.
-    :ivar forgotten_at: when it no longer counts though no end was told.
+    :ivar tokens: tokens to compute.
+    :ivar copied: tokens whose KV cache the engine first fetches from another engine.
+    :ivar arrives_at: when the prompt reaches the engine; work on it starts no earlier.
+    :ivar expires_at: when it no longer counts, even if its end was never reported.
     """
 
     tokens: int
     copied: int
     parts: tuple[PromptPart, ...]
     arrives_at: float
-    forgotten_at: float
+    expires_at: float
 
 
 class TargetEstimate:
-    """What is believed of one target, from the list and from outcomes."""
+    """Estimated state of one target, from the list of instances and from outcomes."""
 
     def __init__(
         self, target: Target, costs: ServiceCosts, index: PrefixCacheIndex
     ) -> None:
         """
-        Start without knowledge of load.
+        Create an estimate without any load.
 
         :param target: as listed.
-        :param costs: what is learned of the engines of its service.
-        :param index: learns which parts it holds.
+        :param costs: measured prefill and copy costs of the service's engines.
+        :param index: index of cached prompt parts, updated for this target.
         """
         self.target = target
         self._costs = costs
-        # Time of a reading here, against usual engines of the role.
+        # Prefill time at this engine relative to predictions for its role.
         self.slowness = Slowness()
-        self._last_end = 0.0
-        self._copy_rate = NO_COPY_RATE
-        # What it will hold once it has read all that it was given, and what it holds
-        # already, so that other engines can fetch it.
+        self._last_prefill_end = 0.0
+        self._copy_rate = DEFAULT_COPY_RATE
+        # `parts` is what the prefix cache will hold once all prefills sent there are
+        # done; `fetchable` is what it holds already and other engines can fetch.
         self.parts = PrefixCacheEstimate(target.target_id, index)
         self.fetchable = PrefixCacheEstimate(target.target_id)
         self.prefills_by_ticket: dict[str, Prefill] = {}
         self.in_flight = 0
         self.streams_by_peer: dict[str, int] = {}
         self.missing_since: float | None = None
-        # Whether the target started again since; what this life held is gone.
+        # Whether the target has restarted since, so that the cache contents of this
+        # incarnation are lost.
         self.is_replaced = False
         self.changing_until = 0.0
         self.refusing_until = 0.0
         self.failure_share = 0.0
-        self._failures = 0
-        self._ejections = 0
+        self._consecutive_failures = 0
+        self._consecutive_ejections = 0
         self.ejected_until = 0.0
 
     def set_model(self, model: EngineModel | None) -> None:
         """
-        Learn what is told of its service's engines.
+        Set the properties of the engines of its service.
 
-        :param model: ``None`` for other targets.
+        :param model: ``None`` if the service has no model engines.
         """
-        self._copy_rate = model.copy_rate if model else NO_COPY_RATE
-        for memory in (self.parts, self.fetchable):
-            memory.capacity_tokens = model.cache_tokens if model else 0
+        self._copy_rate = model.copy_rate if model else DEFAULT_COPY_RATE
+        for cache in (self.parts, self.fetchable):
+            cache.capacity_tokens = model.cache_tokens if model else 0
 
     def load(self) -> int:
-        """Count requests under way here, from all gateways."""
+        """Return the number of requests in progress here, from all gateways."""
         return self.in_flight + sum(self.streams_by_peer.values())
 
     def streams(self) -> int:
-        """Count answers that it writes; prompts that it still reads are none."""
+        """Return the number of responses being generated; prefills do not count."""
         return max(0, self.load() - len(self.prefills_by_ticket))
 
     def is_usable(self, now: float) -> bool:
-        """Tell whether it may get new work."""
+        """Return whether it may receive new work."""
         return (
             not self.target.is_leaving
             and self.missing_since is None
@@ -167,24 +175,24 @@
         )
 
     def is_ejected(self, now: float) -> bool:
-        """Tell whether its failures keep it from new work for now."""
+        """Return whether repeated failures currently keep it from new work."""
         return now < self.ejected_until
 
     @property
     def is_decode_engine(self) -> bool:
-        """Whether it writes answers, also."""
+        """Whether it generates responses, besides prefills."""
         return self.target.role is EngineRole.DECODE
 
     @property
     def is_timed(self) -> bool:
-        """Whether what is predicted of it rests on readings that were timed."""
+        """Whether predictions for it are based on measured prefills."""
         return self._costs.is_known(self.is_decode_engine)
 
     def work_time(self, tokens: int) -> float:
         """
-        Predict how long reading takes once it begins.
+        Predict the duration of a prefill, without its time in the queue.
 
-        :param tokens: to be read.
+        :param tokens: tokens to compute.
         :returns: seconds.
         """
         is_decode_engine = self.is_decode_engine
@@ -193,9 +201,9 @@
 
     def copy_time(self, tokens: int) -> float:
         """
-        Predict how long fetching parts from another engine takes.
+        Predict how long fetching KV cache from another engine takes.
 
-        :param tokens: to be fetched.
+        :param tokens: tokens to fetch.
         :returns: seconds.
         """
         if not tokens:
@@ -204,33 +212,33 @@
 
     def backlog(self, now: float) -> float:
         """
-        Predict when all readings there are done.
+        Predict when all prefills running or queued there are done.
 
         :returns: seconds from now.
         """
         if not self.prefills_by_ticket:
             return 0.0
-        self._forget_lost(now)
-        readings = self.prefills_by_ticket.values()
-        total = sum(self._reading_time(reading) for reading in readings)
-        # Tells how much of the first one is done; the others wait behind it.
-        first = next(iter(readings), None)
+        self._drop_expired(now)
+        prefills = self.prefills_by_ticket.values()
+        total = sum(self._prefill_time(prefill) for prefill in prefills)
+        # Only the first prefill is running; the others are queued behind it.
+        first = next(iter(prefills), None)
         if first is None:
             return 0.0
-        begun = max(first.arrives_at, self._last_end)
-        done = min(max(0.0, now - begun), 0.9 * self._reading_time(first))
-        return max(0.0, total - done)
+        started_at = max(first.arrives_at, self._last_prefill_end)
+        elapsed = min(max(0.0, now - started_at), 0.9 * self._prefill_time(first))
+        return max(0.0, total - elapsed)
 
-    def _reading_time(self, reading: Prefill) -> float:
-        return self.work_time(reading.tokens) + self.copy_time(reading.copied)
+    def _prefill_time(self, prefill: Prefill) -> float:
+        return self.work_time(prefill.tokens) + self.copy_time(prefill.copied)
 
-    def _forget_lost(self, now: float) -> None:
-        lost = [
+    def _drop_expired(self, now: float) -> None:
+        expired_tickets = [
             ticket
-            for ticket, reading in self.prefills_by_ticket.items()
-            if now > reading.forgotten_at
+            for ticket, prefill in self.prefills_by_ticket.items()
+            if now > prefill.expires_at
         ]
-        for ticket in lost:
+        for ticket in expired_tickets:
             del self.prefills_by_ticket[ticket]
 
     def start_prefill(
@@ -243,91 +251,98 @@
         way: float = 0.0,
     ) -> None:
         """
-        Count a reading that was sent there, by whichever gateway.
+        Add a prefill that this or another gateway sent there.
 
-        :param copied: tokens that it fetches from another engine first.
-        :param way: seconds until the engine has the prompt.
+        :param copied: tokens whose KV cache it first fetches from another engine.
+        :param way: seconds until the prompt reaches the engine.
         """
         expected = way + self.backlog(now) + self.work_time(tokens)
-        forgotten_at = now + 3 * expected + LOST_END
-        reading = Prefill(tokens, copied, tuple(parts), now + way, forgotten_at)
-        self.prefills_by_ticket[ticket] = reading
-        self.parts.note(reading.parts)
+        expires_at = now + 3 * expected + PREFILL_EXPIRY_MARGIN
+        prefill = Prefill(tokens, copied, tuple(parts), now + way, expires_at)
+        self.prefills_by_ticket[ticket] = prefill
+        self.parts.note(prefill.parts)
 
     def end_prefill(self, ticket: str, is_good: bool, now: float) -> float | None:
         """
-        Count a reading no more, and learn from it.
+        Remove a prefill that ended, and update cache contents and costs from it.
 
-        It kept the engine busy since it arrived there, or since the reading before it
-        ended, since engines read one prompt after the other.
+        Engines process prompts one at a time, so the prefill occupied the engine from
+        its arrival, or from the end of the previous prefill if that was later.
 
-        :param is_good: whether it was done, so that its parts are there.
-        :returns: seconds for which it kept the engine busy; ``None`` if it is not
-            known or was not done.
+        :param is_good: whether it succeeded, so that its parts are in the cache.
+        :returns: seconds for which it occupied the engine; ``None`` if the ticket is
+            unknown or the prefill failed.
         """
-        reading = self.prefills_by_ticket.pop(ticket, None)
-        if reading is None:
+        prefill = self.prefills_by_ticket.pop(ticket, None)
+        if prefill is None:
             return None
-        busy_since = max(reading.arrives_at, self._last_end)
-        self._last_end = now
+        busy_since = max(prefill.arrives_at, self._last_prefill_end)
+        self._last_prefill_end = now
         if not is_good:
             return None
-        self.fetchable.note(reading.parts)
+        self.fetchable.note(prefill.parts)
         took = max(0.0, now - busy_since)
-        self._learn(reading, took)
+        self._update_costs(prefill, took)
         return took
 
     def drop_prefill(self, ticket: str) -> None:
-        """Count a reading no more whose end was not seen, and learn nothing from it."""
+        """Remove a prefill whose end was not observed, without updating any cost."""
         self.prefills_by_ticket.pop(ticket, None)
 
-    def _learn(self, reading: Prefill, took: float) -> None:
-        if reading.copied:
-            tokens_time = reading.copied / self._copy_rate
-            work = self.work_time(reading.tokens)
-            self._costs.learn_copy(took - work - tokens_time)
+    def _update_costs(self, prefill: Prefill, took: float) -> None:
+        if prefill.copied:
+            transfer_time = prefill.copied / self._copy_rate
+            work = self.work_time(prefill.tokens)
+            self._costs.learn_copy(took - work - transfer_time)
             return
-        usual = self._costs.seconds(reading.tokens, self.is_decode_engine)
+        usual = self._costs.seconds(prefill.tokens, self.is_decode_engine)
         if self.is_timed:
             self.slowness.learn(usual, took)
             self._costs.usual(self.is_decode_engine).learn(usual, took)
-        self._costs.of_role(self.is_decode_engine).learn(reading.tokens, took)
+        self._costs.of_role(self.is_decode_engine).learn(prefill.tokens, took)
 
     def fetched(self, parts: tuple[PromptPart, ...]) -> None:
-        """Learn that it fetched a prompt, which it keeps like its own."""
+        """Record that it fetched a prompt, which it caches like one of its own."""
         self.parts.note(parts)
         self.fetchable.note(parts)
 
     def outcome(self, is_good: bool) -> None:
-        """Learn how an attempt ended; a good one also ends the row of failures."""
+        """Record the outcome of an attempt; a success ends a series of failures."""
         sample = 0.0 if is_good else 1.0
         self.failure_share += OUTCOME_SMOOTHING * (sample - self.failure_share)
         if is_good:
-            self._failures = 0
-            self._ejections = 0
+            self._consecutive_failures = 0
+            self._consecutive_ejections = 0
 
     def refused_connection(self, now: float) -> None:
-        """Learn that nothing listens there; even as the last one left it is no use."""
-        self.refusing_until = now + REFUSAL_PAUSE
+        """
+        Record that the target refused a connection, so that nothing listens there.
+
+        Unlike an ejection, this applies even to the last target of a service.
+        """
+        self.refusing_until = now + CONNECTION_REFUSED_PAUSE
 
     def forgive(self) -> None:
-        """Forget failures and what followed from them."""
+        """Clear the failure counts and end an ejection."""
         self.failure_share = 0.0
-        self._failures = 0
-        self._ejections = 0
+        self._consecutive_failures = 0
+        self._consecutive_ejections = 0
         self.ejected_until = 0.0
 
     def failed(self, now: float, settings: EjectionSettings) -> bool:
         """
-        Count a failure.
+        Record a failed attempt.
 
         :returns: whether it ejects the target.
         """
-        self._failures += 1
-        if self._failures < settings.failures and self._ejections == 0:
+        self._consecutive_failures += 1
+        if (
+            self._consecutive_failures < settings.failures
+            and self._consecutive_ejections == 0
+        ):
             return False
-        pause = min(settings.most, settings.first * 2**self._ejections)
+        pause = min(settings.most, settings.first * 2**self._consecutive_ejections)
         self.ejected_until = now + pause
-        self._ejections = min(self._ejections + 1, 16)
-        self._failures = 0
+        self._consecutive_ejections = min(self._consecutive_ejections + 1, 16)
+        self._consecutive_failures = 0
         return True
--- a/tests/gatewayparts.py
+++ b/tests/gatewayparts.py
@@ -1,4 +1,4 @@
-"""Compact builders of what a gateway decides on."""
+"""Builders of routes, targets, fleets and prompts with defaults for tests."""
 
 from random import Random
 from typing import Any
@@ -26,8 +26,8 @@
     switch_time=3.0,
     copy_rate=1_000_000.0,
 )
-# Seconds of a reading besides its tokens, in a fleet whose readings were timed.
-OVERHEAD = 0.03
+# Fixed part of a prefill's duration in seconds, in a fleet with measured costs.
+PREFILL_OVERHEAD = 0.03
 
 
 def route(**changes: Any) -> Route:
@@ -60,35 +60,44 @@
 
 
 def fleet(*targets: Target, is_timed: bool = True, **placement: Any) -> Fleet:
-    """Make a fleet whose readers are known to read 10,000 tokens a second."""
-    found = Fleet(PlacementSettings(**placement), EjectionSettings(), Random(1))
-    found.set_models({"s": MODEL})
+    """
+    Build a fleet of the given targets.
+
+    :param is_timed: whether the fleet has measured costs: prefill engines process
+        10,000 tokens per second, decode engines half as many.
+    """
+    gateway_fleet = Fleet(PlacementSettings(**placement), EjectionSettings(), Random(1))
+    gateway_fleet.set_models({"s": MODEL})
     for item in targets:
-        found.put(item)
+        gateway_fleet.put(item)
     for is_decode_engine, rate in ((False, 10_000), (True, 5_000)) if is_timed else ():
         for tokens in (1_000, 2_000, 4_000, 8_000):
-            cost = found.costs("s").of_role(is_decode_engine)
-            cost.learn(tokens, OVERHEAD + tokens / rate)
-    return found
+            cost = gateway_fleet.costs("s").of_role(is_decode_engine)
+            cost.learn(tokens, PREFILL_OVERHEAD + tokens / rate)
+    return gateway_fleet
 
 
-def engines(readers: int, writers: int) -> list[Target]:
-    names = [f"reader-{number}" for number in range(readers)]
-    found = [target(name, EngineRole.PREFILL) for name in names]
-    names = [f"writer-{number}" for number in range(writers)]
-    return found + [target(name, EngineRole.DECODE) for name in names]
+def engines(prefill_engines: int, decode_engines: int) -> list[Target]:
+    names = [f"reader-{number}" for number in range(prefill_engines)]
+    targets = [target(name, EngineRole.PREFILL) for name in names]
+    names = [f"writer-{number}" for number in range(decode_engines)]
+    return targets + [target(name, EngineRole.DECODE) for name in names]
 
 
-def queue_over(found: Fleet, **placement: Any) -> PrefillQueue:
+def queue_over(gateway_fleet: Fleet, **placement: Any) -> PrefillQueue:
     settings = PlacementSettings(**placement)
-    return PrefillQueue(settings, placer_over(found, settings))
+    return PrefillQueue(settings, placer_over(gateway_fleet, settings))
 
 
 def placer_over(
-    found: Fleet, settings: PlacementSettings, megabits: float = 0.0
+    gateway_fleet: Fleet, settings: PlacementSettings, megabits: float = 0.0
 ) -> Placer:
     return Placer(
-        settings, found, "north", EgressQueue(megabits, ManualTimers()), GatewayDelay()
+        settings,
+        gateway_fleet,
+        "north",
+        EgressQueue(megabits, ManualTimers()),
+        GatewayDelay(),
     )
 
 
@@ -132,7 +141,7 @@
 
 
 class SocketTransport(StringTransport):
-    """A transport that accepts socket options and tells of an abort."""
+    """A string transport that accepts socket options and records an abort."""
 
     def setTcpNoDelay(self, enabled):  # noqa: N802
         pass
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Test processes: their ports, when they are there, and what is left of them."""
+"""Processes that tests start: choice of ports, readiness and kept logs."""
 
 import socket
 import subprocess
@@ -8,7 +8,7 @@
 
 from tools.fleet import Process, free_port
 
-CHOOSE = """
+CHOOSE_PORTS_SCRIPT = """
 import sys, tools.fleet as fleet
 fleet.FIRST_PORT, fleet.LAST_PORT = int(sys.argv[1]), int(sys.argv[1]) + 19
 print(*(fleet.free_port() for _ in range(15)))
@@ -16,18 +16,27 @@
 
 
 def test_two_processes_never_choose_the_same_port():
-    """The other process is left twenty ports, of which this one has chosen one."""
+    """The other process chooses from twenty ports, one of which is taken here."""
     port = free_port()
-    words = [sys.executable, "-c", CHOOSE, str(port)]
-    chosen = subprocess.run(words, capture_output=True, text=True, check=True)
-    assert str(port) not in chosen.stdout.split()
+    command = [sys.executable, "-c", CHOOSE_PORTS_SCRIPT, str(port)]
+    completed = subprocess.run(command, capture_output=True, text=True, check=True)
+    assert str(port) not in completed.stdout.split()
 
 
 def test_process_is_there_once_all_its_addresses_are(tmp_path):
-    """A gateway was asked whether it is ready before that address was open."""
-    first, second = (f"127.0.0.1:{free_port()}" for _ in range(2))
-    arguments = ["http.server", first.rpartition(":")[2], "--bind", "127.0.0.1"]
-    process = Process("p", arguments, first, tmp_path, (second,))
+    """
+    A process counts as listening only once all of its addresses accept connections.
+
+    Otherwise a gateway was asked for its readiness before that address was open.
+    """
+    listen_address, readiness_address = (f"127.0.0.1:{free_port()}" for _ in range(2))
+    arguments = [
+        "http.server",
+        listen_address.rpartition(":")[2],
+        "--bind",
+        "127.0.0.1",
+    ]
+    process = Process("p", arguments, listen_address, tmp_path, (readiness_address,))
     try:
         while True:
             try:
@@ -41,7 +50,7 @@
         process.kill()
 
 
-TESTS = """
+TEST_MODULE = """
 import pytest
 from tools.fleet import Fleet
 
@@ -72,13 +81,22 @@
 
 
 def test_logs_of_failed_tests_alone_are_kept(tmp_path):
-    """The logs of failures that were seen once were gone before they were read."""
-    path = tmp_path / "test_some.py"
-    path.write_text(TESTS)
-    words = [sys.executable, "-m", "pytest", "-p", "tests.conftest"]
-    words += ["-p", "no:cacheprovider", f"--basetemp={tmp_path / 'base'}", str(path)]
-    done = subprocess.run(words, capture_output=True, text=True, check=False)
-    kept = {file.stem: file.parent for file in tmp_path.glob("base/**/*.json")}
-    assert kept.keys() == {"ended", "shared", "listed"}
-    for folder in kept.values():
-        assert f"logs in {folder}" in done.stdout
+    """
+    Logs of failed tests are kept, since a rare failure can't be studied without them.
+
+    Without this, they were deleted before anybody had read them.
+    """
+    test_module = tmp_path / "test_some.py"
+    test_module.write_text(TEST_MODULE)
+    command = [sys.executable, "-m", "pytest", "-p", "tests.conftest"]
+    command += [
+        "-p",
+        "no:cacheprovider",
+        f"--basetemp={tmp_path / 'base'}",
+        str(test_module),
+    ]
+    completed = subprocess.run(command, capture_output=True, text=True, check=False)
+    folder_by_log = {file.stem: file.parent for file in tmp_path.glob("base/**/*.json")}
+    assert folder_by_log.keys() == {"ended", "shared", "listed"}
+    for folder in folder_by_log.values():
+        assert f"logs in {folder}" in completed.stdout
--- a/tests/test_rolebalance.py
+++ b/tests/test_rolebalance.py
@@ -1,4 +1,4 @@
-"""Swings of the mix replayed against the decision on roles."""
+"""Role balancing under simulated changes between prefill and decode load."""
 
 from pimentolink.gatewaysettings import RoleSettings
 from pimentolink.rolebalance import RoleBalancer
@@ -6,25 +6,30 @@
 from tests.gatewayparts import engines, fleet
 
 
-def replay(found, streams_at, seconds, unmet_at=lambda second: 0.0, readings_at=None):
+def simulate(
+    gateway_fleet, streams_at, seconds, unmet_at=lambda second: 0.0, prefills_at=None
+):
     """
-    Observe once a second; return the changes that were decided.
+    Observe the load and apply decided changes once a second; return the changes.
 
-    :param unmet_at: engine seconds a second of prompts turned away.
-    :param readings_at: prompts that each writer reads, which count as in flight too.
+    :param streams_at: responses being generated in a given second.
+    :param unmet_at: prefill work of rejected prompts in a given second, in engine
+        seconds per second.
+    :param prefills_at: prefills at each decode engine in a given second, which count as
+        requests in flight too.
     """
-    balancer = RoleBalancer(RoleSettings(), found)
+    balancer = RoleBalancer(RoleSettings(), gateway_fleet)
     changes = []
     for second in range(seconds):
-        writers = [
+        decode_engines = [
             engine
-            for engine in found.of_service("s")
+            for engine in gateway_fleet.of_service("s")
             if engine.target.role is EngineRole.DECODE
         ]
-        for engine in writers:
-            engine.in_flight = round(streams_at(second) / max(1, len(writers)))
+        for engine in decode_engines:
+            engine.in_flight = round(streams_at(second) / max(1, len(decode_engines)))
             engine.prefills_by_ticket.clear()
-            for number in range(readings_at(second) if readings_at else 0):
+            for number in range(prefills_at(second) if prefills_at else 0):
                 engine.start_prefill(f"r{number}", 4_000, (), float(second))
                 engine.in_flight += 1
         balancer.unmet_prefill = lambda service, second=second: unmet_at(second)
@@ -32,81 +37,83 @@
         change = balancer.decide("s", float(second))
         if change is not None:
             changes.append((second, change.role))
-            found.put(change.estimate.target._replace(role=change.role))
+            gateway_fleet.put(change.estimate.target._replace(role=change.role))
             balancer.begun("s", float(second))
     return changes
 
 
 class TestLongPrompts:
     def test_writers_become_readers_before_the_first_load_but_for_two(self):
-        found = fleet(*engines(2, 3))
-        changes = replay(found, lambda second: 0, 20)
+        gateway_fleet = fleet(*engines(2, 3))
+        changes = simulate(gateway_fleet, lambda second: 0, 20)
         assert [role for _, role in changes] == [EngineRole.PREFILL]
 
     def test_prompts_turned_away_make_readers_of_writers_with_few_answers(self):
-        found = fleet(*engines(2, 4))
-        changes = replay(found, lambda second: 10, 20, lambda second: 1.5)
+        gateway_fleet = fleet(*engines(2, 4))
+        changes = simulate(gateway_fleet, lambda second: 10, 20, lambda second: 1.5)
         assert [role for _, role in changes] == [EngineRole.PREFILL] * 2
 
     def test_writers_that_are_needed_stay_while_prompts_are_turned_away(self):
-        found = fleet(*engines(2, 4))
-        changes = replay(found, lambda second: 180, 20, lambda second: 1.5)
+        gateway_fleet = fleet(*engines(2, 4))
+        changes = simulate(gateway_fleet, lambda second: 180, 20, lambda second: 1.5)
         assert changes == []
 
     def test_a_share_of_a_large_fleet_goes_on_writing(self):
-        found = fleet(*engines(9, 18))
-        replay(found, lambda second: 30, 120, lambda second: 4.0)
-        roles = [engine.target.role for engine in found.of_service("s")]
+        gateway_fleet = fleet(*engines(9, 18))
+        simulate(gateway_fleet, lambda second: 30, 120, lambda second: 4.0)
+        roles = [engine.target.role for engine in gateway_fleet.of_service("s")]
         assert roles.count(EngineRole.DECODE) == 6
 
     def test_writers_stay_in_each_data_centre(self):
         targets = engines(0, 5)
-        homes = ("north", "north", "north", "north", "south")
-        found = fleet(
+        data_centres = ("north", "north", "north", "north", "south")
+        gateway_fleet = fleet(
             *(
-                item._replace(data_centre=home)
-                for item, home in zip(targets, homes, strict=True)
+                item._replace(data_centre=location)
+                for item, location in zip(targets, data_centres, strict=True)
             )
         )
-        replay(found, lambda second: 0, 20)
-        writers = [
+        simulate(gateway_fleet, lambda second: 0, 20)
+        decode_locations = [
             engine.target.data_centre
-            for engine in found.of_service("s")
+            for engine in gateway_fleet.of_service("s")
             if engine.target.role is EngineRole.DECODE
         ]
-        assert sorted(writers) == ["north", "south"]
+        assert sorted(decode_locations) == ["north", "south"]
 
 
 class TestLongAnswers:
     def test_lasting_load_makes_readers_write(self):
-        found = fleet(*engines(3, 2))
-        changes = replay(found, lambda second: 220, 30)
+        gateway_fleet = fleet(*engines(3, 2))
+        changes = simulate(gateway_fleet, lambda second: 220, 30)
         assert [role for _, role in changes] == [EngineRole.DECODE] * 2
 
     def test_no_more_than_what_answers_need(self):
-        found = fleet(*engines(8, 2))
-        replay(found, lambda second: 180, 120)
-        roles = [engine.target.role for engine in found.of_service("s")]
+        gateway_fleet = fleet(*engines(8, 2))
+        simulate(gateway_fleet, lambda second: 180, 120)
+        roles = [engine.target.role for engine in gateway_fleet.of_service("s")]
         assert roles.count(EngineRole.DECODE) <= 4
 
 
 class TestIdleReaders:
-    """Pattern: a burst of long answers while readers are mostly idle."""
+    """Load pattern: a burst of long responses while prefill engines are mostly idle."""
 
-    def changed_after(self, busy_share):
-        found = fleet(*engines(17, 5))
-        balancer = RoleBalancer(RoleSettings(), found)
-        readers = [item for item in found.of_service("s") if not item.is_decode_engine]
+    def seconds_until_change(self, busy_share):
+        gateway_fleet = fleet(*engines(17, 5))
+        balancer = RoleBalancer(RoleSettings(), gateway_fleet)
+        prefill_engines = [
+            item for item in gateway_fleet.of_service("s") if not item.is_decode_engine
+        ]
         ordered = 0
         for second in range(20):
             now = float(second)
-            for number, reader in enumerate(readers):
-                reader.prefills_by_ticket.clear()
-                if number < busy_share * len(readers):
-                    reader.start_prefill("r", 90_000, (), now)
-            for writer in found.of_service("s"):
-                if writer.is_decode_engine:
-                    writer.in_flight = 10 if second < 10 else 80
+            for number, prefill_engine in enumerate(prefill_engines):
+                prefill_engine.prefills_by_ticket.clear()
+                if number < busy_share * len(prefill_engines):
+                    prefill_engine.start_prefill("r", 90_000, (), now)
+            for engine in gateway_fleet.of_service("s"):
+                if engine.is_decode_engine:
+                    engine.in_flight = 10 if second < 10 else 80
             balancer.observe("s", now)
             ordered += len(balancer.decide_all("s", now))
             if ordered:
@@ -114,19 +121,19 @@
         return None
 
     def test_they_write_soon(self):
-        assert self.changed_after(0.2) <= 2
+        assert self.seconds_until_change(0.2) <= 2
 
     def test_busy_ones_are_taken_later(self):
-        assert self.changed_after(1.0) > self.changed_after(0.2)
+        assert self.seconds_until_change(1.0) > self.seconds_until_change(0.2)
 
 
 class TestCalmThenBurst:
-    """Pattern: after calm seconds prompts come that even writers must read."""
+    """Load pattern: after low load, prompts that decode engines must prefill too."""
 
     def test_prompts_read_at_writers_take_no_reader_away(self):
-        found = fleet(*engines(4, 2))
-        changes = replay(
-            found,
+        gateway_fleet = fleet(*engines(4, 2))
+        changes = simulate(
+            gateway_fleet,
             lambda second: 20,
             40,
             lambda second: 0.0 if second < 10 else 2.0,
@@ -137,14 +144,16 @@
 
 class TestSwings:
     def test_swings_shorter_than_the_horizon_cause_no_change(self):
-        found = fleet(*engines(3, 2))
-        changes = replay(found, lambda second: 145 if second % 4 < 2 else 5, 60)
+        gateway_fleet = fleet(*engines(3, 2))
+        changes = simulate(
+            gateway_fleet, lambda second: 145 if second % 4 < 2 else 5, 60
+        )
         assert changes == []
 
     def test_swings_of_both_kinds_by_turns_cause_no_change(self):
-        found = fleet(*engines(3, 3))
-        changes = replay(
-            found,
+        gateway_fleet = fleet(*engines(3, 3))
+        changes = simulate(
+            gateway_fleet,
             lambda second: 200 if second % 6 < 3 else 5,
             60,
             lambda second: 0.0 if second % 6 < 3 else 1.5,
@@ -152,8 +161,8 @@
         assert changes == []
 
     def test_one_engine_changes_at_a_time(self):
-        found = fleet(*engines(2, 5))
-        balancer = RoleBalancer(RoleSettings(), found)
+        gateway_fleet = fleet(*engines(2, 5))
+        balancer = RoleBalancer(RoleSettings(), gateway_fleet)
         balancer.observe("s", 0.0)
         first = balancer.decide("s", 0.0)
         first.estimate.changing_until = 5.0
@@ -161,8 +170,8 @@
         assert balancer.decide("s", 5.1) is not None
 
     def test_a_large_fleet_changes_a_quarter_at_a_time(self):
-        found = fleet(*engines(4, 18))
-        balancer = RoleBalancer(RoleSettings(), found)
+        gateway_fleet = fleet(*engines(4, 18))
+        balancer = RoleBalancer(RoleSettings(), gateway_fleet)
         ordered = []
         for second in range(12):
             balancer.observe("s", float(second))
@@ -175,8 +184,8 @@
         assert len(ordered) == len(set(ordered)) == 5
 
     def test_a_large_fleet_is_changed_in_few_rounds(self):
-        found = fleet(*engines(12, 27))
-        balancer = RoleBalancer(RoleSettings(), found)
+        gateway_fleet = fleet(*engines(12, 27))
+        balancer = RoleBalancer(RoleSettings(), gateway_fleet)
         balancer.observe("s", 0.0)
         changes = balancer.decide_all("s", 0.0)
         names = {change.estimate.target.target_id for change in changes}
@@ -184,9 +193,9 @@
         assert {change.role for change in changes} == {EngineRole.PREFILL}
 
     def test_a_round_goes_no_further_than_regret_pays_for(self):
-        found = fleet(*engines(4, 20))
-        balancer = RoleBalancer(RoleSettings(), found)
-        for engine in found.of_service("s"):
+        gateway_fleet = fleet(*engines(4, 20))
+        balancer = RoleBalancer(RoleSettings(), gateway_fleet)
+        for engine in gateway_fleet.of_service("s"):
             engine.in_flight = 1
         balancer.unmet_prefill = lambda service: 7.0
         balancer.observe("s", 0.0)
@@ -194,12 +203,12 @@
         assert len(balancer.decide_all("s", 2.0)) == 2
 
     def test_orders_that_were_not_given_are_decided_again(self):
-        found = fleet(*engines(12, 27))
-        balancer = RoleBalancer(RoleSettings(), found)
+        gateway_fleet = fleet(*engines(12, 27))
+        balancer = RoleBalancer(RoleSettings(), gateway_fleet)
         balancer.observe("s", 0.0)
         first = balancer.decide_all("s", 0.0)
         assert len(balancer.decide_all("s", 0.1)) == len(first)
 
     def test_at_least_one_engine_reads(self):
-        found = fleet(*engines(1, 1))
-        assert replay(found, lambda second: 500, 10) == []
+        gateway_fleet = fleet(*engines(1, 1))
+        assert simulate(gateway_fleet, lambda second: 500, 10) == []
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -1,4 +1,4 @@
-"""Matching and adopting routes."""
+"""Route matching, traffic splits and versions of the routing table."""
 
 from random import Random
 
@@ -14,18 +14,20 @@
 
 class TestMatch:
     def test_longest_prefix_wins(self):
-        found = table(1, route(name="a", prefix="/p/"), route(name="b", prefix="/p/q/"))
-        assert found.match("h.example", "/p/q/x?y=/z/").unwrap().name == "b"
-        assert found.match("H.example", "/p/qx").unwrap().name == "a"
+        routing_table = table(
+            1, route(name="a", prefix="/p/"), route(name="b", prefix="/p/q/")
+        )
+        assert routing_table.match("h.example", "/p/q/x?y=/z/").unwrap().name == "b"
+        assert routing_table.match("H.example", "/p/qx").unwrap().name == "a"
 
     def test_prefix_must_end_at_a_slash(self):
-        found = table(1, route(prefix="/p/"))
-        assert isinstance(found.match("h.example", "/px/"), Err)
-        assert isinstance(found.match("other.example", "/p/"), Err)
+        routing_table = table(1, route(prefix="/p/"))
+        assert isinstance(routing_table.match("h.example", "/px/"), Err)
+        assert isinstance(routing_table.match("other.example", "/p/"), Err)
 
     def test_root_prefix_matches_everything_of_its_host(self):
-        found = table(1, route(prefix="/"))
-        assert found.match("h.example", "/any/thing").is_ok()
+        routing_table = table(1, route(prefix="/"))
+        assert routing_table.match("h.example", "/any/thing").is_ok()
 
 
 class TestSplit:
