--- a/pimentolink/attempts.py
+++ b/pimentolink/attempts.py
@@ -1,4 +1,4 @@
-"""What was sent for one request, and whether it may be sent again."""
+"""Tracks the attempts of one request and decides whether it may be retried."""
 
 from __future__ import annotations
 
@@ -14,56 +14,57 @@
 
 class Attempts:
     """
-    The attempts of one request.
+    The attempts made for one request.
 
-    Guards that a request that may not be repeated is sent again only if no target can
-    have run it, and that it runs on no more targets than its route allows.
+    A request with ``Repeatability.ONCE`` is retried only if no target can have run it.
+    Any other request runs on at most as many targets as its route allows.
     """
 
     def __init__(self, route: Route) -> None:
         """
-        Start without an attempt.
+        Start with no attempts.
 
-        :param route: says what may be repeated.
+        :param route: determines whether and on how many targets the request may be
+            repeated.
         """
         self._route = route
-        self._ran_at: set[str] = set()
-        self._in_doubt = ""
+        self._may_have_run_target_ids: set[str] = set()
+        self._pending_target_id = ""
         self.tried_target_ids: list[str] = []
 
     @property
     def may_have_run(self) -> bool:
         """Whether any target may have run the request."""
-        return bool(self._ran_at) or bool(self._in_doubt)
+        return bool(self._may_have_run_target_ids) or bool(self._pending_target_id)
 
     @property
     def count(self) -> int:
-        """How often it was sent to be run."""
+        """Number of attempts, without those that reached no target."""
         return len(self.tried_target_ids)
 
     def may_send(self, target_id: str) -> bool:
-        """Tell whether it may be sent to a target to be run."""
+        """Return whether the request may be sent to this target."""
         if not self.may_have_run:
             return True
         if self._route.repeatability is Repeatability.ONCE:
             return False
-        ran_at = self._ran_at | {target_id}
-        return len(ran_at) <= self._route.max_targets
+        target_ids = self._may_have_run_target_ids | {target_id}
+        return len(target_ids) <= self._route.max_targets
 
     def may_repeat(self) -> bool:
-        """Tell whether another target may get it."""
+        """Return whether the request may be sent to a target not tried before."""
         return self.may_send("")
 
     def sent(self, target_id: str) -> None:
-        """Count a sending; until its outcome is told, it may run."""
+        """Record an attempt, which may run until its outcome is recorded."""
         self.tried_target_ids.append(target_id)
-        self._in_doubt = target_id
+        self._pending_target_id = target_id
 
     def failed(self, failure: Failure) -> None:
         """
-        Learn how the last sending failed.
+        Record the failure of the last attempt.
 
-        :param failure: its ``ran`` tells whether the request may have run.
+        :param failure: its ``ran`` states whether the request may have run.
         """
         if isinstance(failure, UNSENT):
             self.not_sent()
@@ -73,25 +74,26 @@
             self.not_run()
 
     def not_sent(self) -> None:
-        """Learn that the last sending reached no target, so that it was none."""
+        """Discard the last attempt, which reached no target."""
         self.tried_target_ids.pop()
-        self._in_doubt = ""
+        self._pending_target_id = ""
 
     def not_run(self) -> None:
-        """Learn that the last sending did not run."""
-        self._in_doubt = ""
+        """Record that the target did not run the last attempt."""
+        self._pending_target_id = ""
 
     def ran(self) -> None:
-        """Learn that the last sending ran, or may have."""
-        if self._in_doubt:
-            self._ran_at.add(self._in_doubt)
-            self._in_doubt = ""
+        """Record that the target ran the last attempt, or may have."""
+        if self._pending_target_id:
+            self._may_have_run_target_ids.add(self._pending_target_id)
+            self._pending_target_id = ""
 
     def final(self, failure: Failure) -> Failure:
         """
-        Turn the last failure into the request's final answer.
+        Return the failure to report to the caller after the last attempt.
 
-        Only a request that no target can have run is said not to have run.
+        A failure that promises that the request did not run is reported only if no
+        target can have run any of its attempts.
         """
         if not self.may_have_run or failure.ran:
             return failure
@@ -101,10 +103,10 @@
 
     def expired(self, failure: Failure) -> Failure:
         """
-        Choose the final answer once the time is over.
+        Return the failure to report to the caller once the deadline has passed.
 
-        :param failure: for a request that was not run.
+        :param failure: reported if no target can have run the request.
         """
         if self.may_have_run:
-            return LateAnswer("no whole answer within the time allowed")
+            return LateAnswer("no complete response before the deadline")
         return failure
--- a/pimentolink/breaker.py
+++ b/pimentolink/breaker.py
@@ -1,4 +1,4 @@
-"""A circuit breaker before the key-value service."""
+"""Circuit breaker for calls to the key-value service."""
 
 from __future__ import annotations
 
@@ -20,11 +20,13 @@
 
 class BreakerStore:
     """
-    Passes calls on while the service answers, and refuses them at once while not.
+    Key-value store client that fails fast while the service is unavailable.
 
-    After failures in a row it opens; once a growing pause is over it lets a single
-    call through, whose outcome closes it or begins the next pause. So an outage costs
-    its callers no time-outs, and the service no stampede when it is back.
+    The breaker opens after a number of consecutive failures and then refuses calls
+    immediately. After an exponential backoff delay it lets a single trial call through,
+    which closes the breaker if it succeeds and starts the next delay if it fails. This
+    spares callers timeouts during an outage and avoids a thundering herd when the
+    service recovers.
     """
 
     def __init__(
@@ -35,24 +37,25 @@
         random: Random,
     ) -> None:
         """
-        Start closed.
+        Start with the breaker closed.
 
-        :param store: the service.
-        :param settings: failures in a row that open it, and pauses.
+        :param store: client of the service, to which calls are passed.
+        :param settings: number of consecutive failures that open the breaker, and
+            limits of the backoff delay.
         :param timers: the timer service.
-        :param random: seeded source for jitter.
+        :param random: seeded random number generator for jitter.
         """
         self._store = store
         self._max_failures = settings.breaker_failures
         self._backoff = Backoff(settings.backoff_first, settings.backoff_most, random)
         self._timers = timers
         self._failures = 0
-        self._closed_at = 0.0
-        self._is_trying = False
+        self._next_trial_at = 0.0
+        self._is_trial_running = False
 
     @property
     def is_open(self) -> bool:
-        """Whether the service counts as down."""
+        """Whether the breaker is open, which means that the service is unavailable."""
         return self._failures >= self._max_failures
 
     def get(self, key: str) -> Deferred[Value]:
@@ -60,7 +63,11 @@
         return self._guard(lambda: self._store.get(key))
 
     def watch(self, key: str, index: int, wait: float) -> Deferred[Value]:
-        """Read a key once it has changed; what watches pauses by itself."""
+        """
+        Read a key once it has changed.
+
+        Bypasses the breaker, since watchers apply their own backoff.
+        """
         return self._store.watch(key, index, wait)
 
     def compare_and_swap(
@@ -74,22 +81,26 @@
         return self._guard(lambda: self._store.hold_lease(key, holder, seconds))
 
     def _guard(self, call: Callable[[], Deferred[Answered]]) -> Deferred[Answered]:
-        if self.is_open and (self._is_trying or self._timers.now() < self._closed_at):
+        if self.is_open and (
+            self._is_trial_running or self._timers.now() < self._next_trial_at
+        ):
             refused: Deferred[Answered] = Deferred()
-            refused.errback(KeyValueUnavailable("not asked: it did not answer before"))
+            refused.errback(
+                KeyValueUnavailable("call refused: the circuit breaker is open")
+            )
             return refused
-        self._is_trying = self.is_open
-        return call().addCallbacks(self._answered, self._failed)
+        self._is_trial_running = self.is_open
+        return call().addCallbacks(self._on_success, self._on_failure)
 
-    def _answered(self, value: Answered) -> Answered:
+    def _on_success(self, value: Answered) -> Answered:
         self._failures = 0
-        self._is_trying = False
+        self._is_trial_running = False
         self._backoff.reset()
         return value
 
-    def _failed(self, failure: TwistedFailure) -> TwistedFailure:
+    def _on_failure(self, failure: TwistedFailure) -> TwistedFailure:
         self._failures += 1
-        self._is_trying = False
+        self._is_trial_running = False
         if self.is_open:
-            self._closed_at = self._timers.now() + self._backoff.next()
+            self._next_trial_at = self._timers.now() + self._backoff.next()
         return failure
--- a/pimentolink/retry.py
+++ b/pimentolink/retry.py
@@ -1,4 +1,4 @@
-"""When an attempt is repeated, and after how long."""
+"""Retry budget and exponential backoff."""
 
 from __future__ import annotations
 
@@ -9,30 +9,31 @@
 
 class RetryBudget:
     """
-    Bounds retries to a share of requests, so that a failing fleet is not flooded.
+    Limits retries to a ratio of the requests, so that they do not overload targets.
 
-    Each request earns a fraction of a retry; a reserve lets a quiet entry retry too.
+    Each request adds a fraction of a retry to the balance. The balance starts at the
+    reserve and never exceeds it, so that an entry with few requests can retry too.
     """
 
     def __init__(self, settings: RetrySettings) -> None:
         """
-        Start with the whole reserve.
+        Start with a balance equal to the reserve.
 
-        :param settings: ratio and reserve.
+        :param settings: ratio and reserve of the budget, in retries.
         """
         self._settings = settings
         self._balance = float(settings.budget_reserve)
 
     def earn(self) -> None:
-        """Count one request."""
+        """Add the credit of one request to the balance."""
         most = float(self._settings.budget_reserve)
         self._balance = min(most, self._balance + self._settings.budget_ratio)
 
     def spend(self) -> bool:
         """
-        Ask for one retry.
+        Spend one retry if the balance allows it.
 
-        :returns: whether it is granted.
+        :returns: whether the retry is granted.
         """
         if self._balance < 1.0:
             return False
@@ -41,15 +42,20 @@
 
 
 class Backoff:
-    """Growing pauses with full jitter."""
+    """
+    Exponential backoff with equal jitter.
+
+    The upper limit doubles with each failure in a row; the delay is drawn uniformly
+    between half that limit and the limit.
+    """
 
     def __init__(self, first: float, most: float, random: Random) -> None:
         """
-        Start at the shortest pause.
+        Start with no failures.
 
-        :param first: seconds of the first pause, at most.
-        :param most: seconds of any pause, at most.
-        :param random: seeded source.
+        :param first: upper limit of the first delay, in seconds.
+        :param most: upper limit of any delay, in seconds.
+        :param random: seeded random number generator.
         """
         self._first = first
         self._most = most
@@ -58,14 +64,14 @@
 
     def next(self) -> float:
         """
-        Count a failure.
+        Record a failure.
 
-        :returns: seconds to wait.
+        :returns: seconds to wait before the next attempt.
         """
         ceiling = min(self._most, self._first * 2**self._failures)
         self._failures = min(self._failures + 1, 30)
         return self._random.uniform(ceiling / 2, ceiling)
 
     def reset(self) -> None:
-        """Count a success."""
+        """Record a success, which returns to the shortest delay."""
         self._failures = 0
--- a/pimentolink/retrylimiter.py
+++ b/pimentolink/retrylimiter.py
@@ -1,4 +1,4 @@
-"""Limits repeated attempts by the retry budget that all gateways share."""
+"""Limits retries by the retry budget that all gateways share."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
         self._metrics = metrics
 
     def earn(self, work: Work) -> None:
-        """Count a request, which adds to the retry budget of its service."""
+        """Record a request, which adds credit to the retry budget of its service."""
         self._budgets.earn(work.service)
 
     def spend(self, work: Work, is_repeat: bool) -> AbstractContextManager[None]:
         """
-        Ask for one attempt; first attempts do not use the budget.
+        Request permission for one attempt; first attempts do not use the budget.
 
         :param work: the request.
-        :param is_repeat: whether this is a repeated attempt.
+        :param is_repeat: whether this attempt is a retry.
         :returns: a context manager that must enclose the attempt.
-        :raises RetryBudgetSpent: if a repeated attempt is denied.
+        :raises RetryBudgetSpent: if the retry is denied.
         """
         if not is_repeat:
             return nullcontext()
--- a/pimentolink/sharedbudget.py
+++ b/pimentolink/sharedbudget.py
@@ -1,4 +1,4 @@
-"""Limits repeated attempts by a budget that all gateways share."""
+"""Limits retries by a budget that all gateways share."""
 
 from __future__ import annotations
 
@@ -13,22 +13,21 @@
 from pimentolink.slackshare import SlackShare
 from pimentolink.timers import Timers
 
-# Share of the deployment's budget that gateways use. The rest covers requests from
-# before a window whose earned attempts are granted within it.
+# Fraction of the deployment's budget that gateways use. The rest covers credit that was
+# earned by requests before a window and is spent within it.
 USED_SHARE = 0.8
-# Share of the window after which the credit that a request earned expires.
+# Fraction of the window after which the credit that a request earned expires.
 CREDIT_LIFETIME_SHARE = 0.25
 
 
 class EarnedRetryCredit:
     """
-    Unused credit for repeated attempts, earned by requests.
+    Unused retry credit, earned by requests.
 
-    Each request earns a fraction of a repeated attempt once, and the credit expires
-    after a fraction of the window. This keeps gateways within the budget when targets
-    begin to fail after a period without failures and gateways are restarted. At a low
-    request rate, the newest requests that add up to one repeated attempt are kept for a
-    whole window.
+    Each request earns a fraction of a retry once, and the credit expires after a
+    fraction of the window. This keeps gateways within the budget when targets begin to
+    fail after a period without failures and gateways are restarted. At a low request
+    rate, the newest requests that add up to one retry are kept for a whole window.
     """
 
     def __init__(self, timers: Timers) -> None:
@@ -49,19 +48,19 @@
         return len(self._requests)
 
     def add(self, settings: BudgetSettings) -> None:
-        """Count one request and drop expired ones, which bounds memory use."""
+        """Record one request and drop expired ones, which bounds memory use."""
         self._requests.append(self._timers.boot_time())
         self._expire(settings)
 
     def available(self, settings: BudgetSettings) -> float:
-        """Return how many repeated attempts the unspent credit allows."""
+        """Return how many retries the unspent credit allows."""
         self._expire(settings)
         requests = len(self._requests) - self._spent_of_oldest
         return len(self._refunded) + requests * USED_SHARE * settings.ratio
 
     def spend(self, settings: BudgetSettings) -> float:
         """
-        Spend the credit for one repeated attempt, which must be available.
+        Spend the credit for one retry, which must be available.
 
         :returns: when this credit was first spent, in seconds of the boot clock.
         """
@@ -76,7 +75,7 @@
 
     def refund(self, spent_at: float) -> None:
         """
-        Restore the credit for one repeated attempt, which keeps its age.
+        Restore the credit for one retry, which keeps its age.
 
         :param spent_at: see :meth:`spend`.
         """
@@ -103,9 +102,9 @@
 
 class RetryGrant:
     """
-    Permission for one repeated attempt, used as a context manager around it.
+    Permission for one retry, used as a context manager around it.
 
-    If the attempt reached no target, the grant is refunded to its source, which is the
+    If the retry reached no target, the grant is refunded to its source, which is the
     earned credit or the slack.
     """
 
@@ -113,7 +112,7 @@
         """
         Create a grant.
 
-        :param budget: the budget that granted the attempt.
+        :param budget: the budget that granted the retry.
         :param is_earned: whether earned credit was spent, as opposed to slack.
         :param spent_at: when its credit or slack was first spent, in seconds of the
             boot clock.
@@ -123,7 +122,7 @@
         self.spent_at = spent_at
 
     def __enter__(self) -> None:
-        """Enter the context of the attempt."""
+        """Enter the context of the retry."""
 
     def __exit__(
         self,
@@ -131,20 +130,20 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Refund the grant if the attempt reached no target."""
+        """Refund the grant if the retry reached no target."""
         if isinstance(error, UNSENT):
             self._budget.refund(self)
 
 
 class RetryDecision(NamedTuple):
     """
-    The decision on a repeated attempt, with its inputs.
+    The decision on a retry, with its inputs.
 
-    :ivar grant: permission for the attempt; ``None`` if it is denied.
-    :ivar earned: repeated attempts that the earned credit allowed before the decision.
-    :ivar spent: repeated attempts granted earlier from the slack within the window.
+    :ivar grant: permission for the retry; ``None`` if it is denied.
+    :ivar earned: retries that the earned credit allowed before the decision.
+    :ivar spent: retries granted earlier from the slack within the window.
     :ivar gateways: number of gateways that share the slack.
-    :ivar part: slack that this gateway may use.
+    :ivar part: slack that this gateway may use, in retries per window.
     """
 
     grant: RetryGrant | None
@@ -158,18 +157,18 @@
     """
     One gateway's part of a budget that all gateways share.
 
-    A repeated attempt spends earned credit if there is enough, and otherwise this
-    gateway's part of the slack. Over any window, all gateways together grant at most
-    ``USED_SHARE`` of the sum of the slack and ``ratio`` times the requests, plus one
-    attempt for each gateway. The requests are those of the window and of the
-    ``CREDIT_LIFETIME_SHARE`` of a window before it.
+    A retry spends earned credit if there is enough, and otherwise this gateway's part
+    of the slack. Over any window, all gateways together grant at most ``USED_SHARE`` of
+    the sum of the slack and ``ratio`` times the requests, plus one retry for each
+    gateway. The requests are those of the window and of the ``CREDIT_LIFETIME_SHARE``
+    of a window before it.
     """
 
     def __init__(
         self, settings: BudgetSettings, share: SlackShare, timers: Timers
     ) -> None:
         """
-        Start with nothing counted.
+        Start with no earned credit and no slack used.
 
         :param settings: ratio, slack and window.
         :param share: determines this gateway's part of the slack.
@@ -182,12 +181,12 @@
         self._slack_used_at: deque[float] = deque()
 
     def earn(self) -> None:
-        """Count one request."""
+        """Record one request, which earns credit."""
         self._credit.add(self.settings)
 
     def spend(self) -> RetryDecision:
         """
-        Ask for one repeated attempt.
+        Request permission for one retry.
 
         :returns: the decision with its inputs.
         """
@@ -207,7 +206,7 @@
         return RetryDecision(grant, earned, spent, gateways, part)
 
     def refund(self, grant: RetryGrant) -> None:
-        """Refund a grant whose attempt reached no target."""
+        """Refund a grant whose retry reached no target."""
         if grant.is_earned:
             self._credit.refund(grant.spent_at)
         elif grant.spent_at in self._slack_used_at:
@@ -215,13 +214,13 @@
 
 
 class SharedBudgets:
-    """A budget for each service."""
+    """The shared retry budget of each service."""
 
     def __init__(self, settings: GatewaySettings, timers: Timers) -> None:
         """
-        Start without spending.
+        Start with no credit for any service.
 
-        :param settings: of the gateway.
+        :param settings: settings of the gateway.
         :param timers: the timer service.
         """
         self.settings = settings.budget
@@ -235,12 +234,12 @@
         return self.share.gateways(self.settings)
 
     def earn(self, service: str) -> None:
-        """Count one request to a service."""
+        """Record one request to a service, which earns credit."""
         self._budget(service).earn()
 
     def spend(self, service: str) -> RetryDecision:
         """
-        Ask for one repeated attempt.
+        Request permission for one retry.
 
         :returns: the decision with its inputs.
         """
--- a/pimentolink/slackshare.py
+++ b/pimentolink/slackshare.py
@@ -11,7 +11,7 @@
 
 class _PastCount(NamedTuple):
     """
-    A number of listed gateways that was followed by a smaller one.
+    An earlier number of listed gateways that was higher than the current one.
 
     :ivar ended_at: when it was last valid, in seconds of the boot clock.
     """
@@ -24,13 +24,13 @@
     """
     Tracks the maximum number of listed gateways over a sliding window.
 
-    Load pattern: many gateways stop at once, or their leases expire during an outage of
-    the store. They are no longer listed but still serve requests.
+    If many gateways stop at once, or their leases expire during an outage of the store,
+    they are no longer listed but still serve requests. The maximum still counts them.
     """
 
     def __init__(self, timers: Timers) -> None:
         """
-        Start with this gateway alone.
+        Start with a count of one, for this gateway.
 
         :param timers: the timer service.
         """
@@ -68,11 +68,12 @@
     """
     Computes the part of the slack that this gateway may use.
 
-    Load pattern: all targets fail while gateways are killed, stopped or cut off from
-    the store one after the other. A process that has just started does not know which
-    attempts its predecessor sent, and one whose lease may have expired may have been
-    replaced. Both use no slack until the lease has been held without a gap for the
-    window and one lease period, so that those attempts are outside the window.
+    This keeps the deployment within its slack when all targets fail while gateways are
+    killed, stopped or disconnected from the store one after the other. A process that
+    has just started does not know which attempts its predecessor sent, and one whose
+    lease may have expired may have been replaced. Both use no slack until the lease has
+    been held without a gap for the window and one lease period, so that those attempts
+    are outside the window.
     """
 
     def __init__(self, settings: GatewaySettings, timers: Timers) -> None:
@@ -92,7 +93,7 @@
         """
         Record that the store holds this gateway's entry.
 
-        :param asked_at: when the store was asked, in seconds of the boot clock.
+        :param asked_at: when the renewal was requested, in seconds of the boot clock.
         """
         if not self._is_lease_valid(asked_at):
             self._lease_held_since = self._timers.boot_time()
@@ -104,7 +105,7 @@
 
     def part(self, budget: BudgetSettings) -> float:
         """
-        Return the slack available to this gateway, zero while it must not use any.
+        Return the slack that this gateway may use, or zero while it must not use any.
 
         :param budget: slack and window.
         """
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""What may be sent again, and which final answer is true."""
+"""Tests of which requests may be retried and which failure is reported."""
 
 import pytest
 
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -1,4 +1,4 @@
-"""The breaker before the key-value service."""
+"""Tests of the circuit breaker of the key-value service."""
 
 from random import Random
 
@@ -18,50 +18,50 @@
 )
 
 
-class Site:
+class Harness:
     def __init__(self):
         self.timers = ManualTimers()
         self.memory = MemoryStore()
         self.store = BreakerStore(self.memory, SETTINGS, self.timers, Random(1))
 
-    def ask(self):
+    def get_succeeds(self):
         outcome = []
         self.store.get("a").addBoth(outcome.append)
         return not hasattr(outcome[0], "value")
 
 
 @pytest.fixture
-def site():
-    return Site()
+def harness():
+    return Harness()
 
 
-def test_outage_costs_few_calls_and_ends_by_itself(site):
-    site.memory.set_down(True)
+def test_outage_costs_few_calls_and_ends_by_itself(harness):
+    harness.memory.set_down(True)
     for _ in range(600):
-        assert not site.ask()
-        site.timers.advance(0.1)
-    assert site.memory.calls <= 16
-    site.memory.set_down(False)
-    site.timers.advance(8.0)
-    assert site.ask()
-    assert not site.store.is_open
+        assert not harness.get_succeeds()
+        harness.timers.advance(0.1)
+    assert harness.memory.calls <= 16
+    harness.memory.set_down(False)
+    harness.timers.advance(8.0)
+    assert harness.get_succeeds()
+    assert not harness.store.is_open
 
 
-def test_single_failures_do_not_open_it(site):
+def test_single_failures_do_not_open_it(harness):
     for _ in range(20):
-        site.memory.set_down(True)
-        assert not site.ask()
-        site.memory.set_down(False)
-        assert site.ask()
-    assert not site.store.is_open
+        harness.memory.set_down(True)
+        assert not harness.get_succeeds()
+        harness.memory.set_down(False)
+        assert harness.get_succeeds()
+    assert not harness.store.is_open
 
 
-def test_one_call_at_a_time_tries_an_open_one(site):
-    site.memory.set_down(True)
+def test_one_call_at_a_time_tries_an_open_one(harness):
+    harness.memory.set_down(True)
     for _ in range(3):
-        site.ask()
-    site.timers.advance(2.0)
-    before = site.memory.calls
+        harness.get_succeeds()
+    harness.timers.advance(2.0)
+    before = harness.memory.calls
     for _ in range(10):
-        site.ask()
-    assert site.memory.calls == before + 1
+        harness.get_succeeds()
+    assert harness.memory.calls == before + 1
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Bounds: what is let in, retried and kept, and what happens at the bound."""
+"""Tests of limits on admission, retries and memory, and of behaviour at the limit."""
 
 from random import Random
 
@@ -62,7 +62,12 @@
         assert target.is_available(now + 1.0)
 
     def test_target_that_turned_work_away_is_not_asked_before_its_next_report(self):
-        """A request used up its attempts at a target that had begun a change."""
+        """
+        Guards against a request using up its attempts at one target.
+
+        A target that has begun a planned change rejects requests, but its last load
+        report still says that it accepts work.
+        """
         target = TargetState("a", "d")
         target.reported(link_pb2.Load(accepting=True))
         target.turned_work_away(0.25)
--- a/tests/test_sharedbudget.py
+++ b/tests/test_sharedbudget.py
@@ -1,4 +1,4 @@
-"""Bounds on repeated attempts over all gateways."""
+"""Tests of the limit on retries over all gateways."""
 
 import json
 import signal
@@ -21,7 +21,7 @@
 
 
 def new_budgets(timers, gateways=4, **budget):
-    """Create the retry budgets of a gateway that has just started."""
+    """Create the retry budgets of a gateway that does not hold a lease yet."""
     settings = gateway_settings(budget=BudgetSettings(**budget))
     budgets = SharedBudgets(settings, timers)
     budgets.share.listed_count.update(gateways)
@@ -37,6 +37,7 @@
 
 
 def established_budgets(timers, gateways=4, **budget):
+    """Create the retry budgets of a gateway that may use its part of the slack."""
     budgets = new_budgets(timers, gateways, **budget)
     renew_leases(timers, budgets)
     budgets.share.lease_renewed(timers.boot_time())
@@ -95,7 +96,7 @@
                 raise NotListening("refused")
 
     def test_refund_goes_to_the_grant_of_the_failed_attempt(self):
-        # Guards against refunding another grant, whose attempt was sent.
+        # Guards against refunding another grant, whose retry reached its target.
         timers = ManualTimers()
         budgets = established_budgets(timers, ratio=0.2, slack=10.0, window=10.0)
         first = budgets.spend("s").grant
@@ -132,8 +133,9 @@
             assert len(inside) <= 0.2 * len(arrived) + 56
 
     def test_restarts_after_a_calm_time_stay_inside_the_deployments_budget(self):
-        # Guards against spending the credit of a window without failures within the
-        # next one, and that of the next one again after a restart.
+        # Guards against spending the credit of a window without failures in the next
+        # window, in addition to that window's own credit, and against spending the
+        # latter again after a restart.
         timers = ManualTimers()
         settings = {"ratio": 0.2, "slack": 56.0, "window": 10.0}
         gateways = [new_budgets(timers, 5, **settings) for _ in range(5)]
@@ -245,7 +247,7 @@
         for count in (5, 1, 4, 2, 3, 1):
             listed_count.update(count)
             timers.advance(1.0)
-        # Counts end at: five at 1 s, four at 3 s, three at 5 s; the clock is at 6 s.
+        # Counts end: five at 1 s, four at 3 s, three at 5 s. The clock is at 6 s.
         maxima = [
             listed_count.maximum_within(length) for length in (5.5, 4.0, 2.0, 0.5)
         ]
@@ -305,6 +307,7 @@
 
 
 def count_retries(world, requests):
+    """Return how many runs at the targets exceed the number of requests."""
     arrivals = sum(
         sum(world.runs(name)["runs"].values()) for name in ("plain-1", "plain-2")
     )
@@ -329,14 +332,15 @@
     def test_stopping_gateway_still_counts_among_those_that_share_the_slack(
         self, fleet
     ):
-        # Guards against leaving a stopping gateway that still serves out of the count.
+        # Guards against not counting a stopping gateway that still serves requests.
         world = start_with_failing_targets(fleet, "gateway", "gateway-2")
         requests = send_requests_while_one_stops(world)
         assert count_retries(world, requests) <= RATIO * requests + SLACK
 
     def test_part_of_a_stopping_gateway_is_not_reassigned_while_it_serves(self, fleet):
         # Guards against the remaining gateway using all the slack while the stopping
-        # one still uses its part. Both may use slack after window plus lease.
+        # one still uses its part. Both may use slack once the window and one lease
+        # period have passed since their start.
         world = start_with_failing_targets(
             fleet, "gateway", "gateway-2", lease=2.0, window=2.0
         )
@@ -355,7 +359,7 @@
     requests = 0
     for _ in range(20):
         for name in ("gateway", "gateway-2"):
-            # The stopping gateway ends after 3 s if no connection is open.
+            # The stopping gateway exits after 3 s if no connection is open.
             with suppress(URLError):
                 world.request(FAILING_PATH, gateway=name)
                 requests += 1
