--- a/pimentolink/apikeys.py
+++ b/pimentolink/apikeys.py
@@ -1,4 +1,4 @@
-"""API keys of organisations, and how callers present them."""
+"""API keys of organisations, and their extraction from request headers."""
 
 from __future__ import annotations
 
@@ -12,19 +12,21 @@
 from pimentolink.errors import Unauthenticated
 from pimentolink.httptypes import Headers
 
-# Bytes of a digest; no other key can be found that has the digest of a given one.
+# Length of a digest in bytes, enough to make finding a second key with the same digest
+# infeasible.
 DIGEST_BYTES = 32
 AUTHORIZATION = b"authorization"
 # :source: RFC 6750, section 2.1, and RFC 9110, section 11.1.
-_BEARER = re.compile(rb"[Bb][Ee][Aa][Rr][Ee][Rr] +([A-Za-z0-9._~+/-]+=*)")
+_BEARER_PATTERN = re.compile(rb"[Bb][Ee][Aa][Rr][Ee][Rr] +([A-Za-z0-9._~+/-]+=*)")
 
 
 class Organisation(NamedTuple):
     """
-    Who asks.
+    An organisation that holds API keys.
 
-    :ivar priority: of its requests, before that of their route; ``None`` if only the
-        route's counts.
+    :ivar name: name of the organisation.
+    :ivar priority: priority of its requests, which overrides the priority of their
+        route; ``None`` if the route's priority applies.
     """
 
     name: str
@@ -32,45 +34,51 @@
 
 
 def digest_of(key: bytes) -> bytes:
-    """Make the digest under which a key is known; the key itself is kept nowhere."""
+    """Return the digest that is stored in place of a key."""
     return blake2b(key, digest_size=DIGEST_BYTES).digest()
 
 
 class ApiKeys:
-    """The keys of one version of the configuration, by digest."""
+    """The API keys of one version of the configuration, indexed by digest."""
 
     def __init__(self, organisations_by_digest: dict[bytes, Organisation]) -> None:
         """
-        Take the keys.
+        Create an index.
 
-        :param organisations_by_digest: see :func:`digest_of`.
+        :param organisations_by_digest: the organisation that holds each key, by the
+            key's :func:`digest_of`.
         """
         self._organisations_by_digest = organisations_by_digest
 
     def organisation(self, key: bytes) -> Organisation | None:
-        """Find the organisation that holds a key."""
+        """Return the organisation that holds a key, or ``None`` if there is none."""
         return self._organisations_by_digest.get(digest_of(key))
 
 
 def read_key(headers: Headers) -> Result[bytes, Unauthenticated]:
     """
-    Read the key that a caller presents.
+    Read the API key from the ``Authorization`` header of a request.
 
-    :param headers: of its request.
+    :param headers: headers of the request.
+    :returns: the key, or the reason why the request is not authenticated.
     """
     found = [value for name, value in headers if name.lower() == AUTHORIZATION]
     if not found:
-        return Err(Unauthenticated("the request bears no API key"))
+        return Err(Unauthenticated("the request has no Authorization header"))
     if len(found) > 1:
-        return Err(Unauthenticated("the request bears more than one authorization"))
-    match = _BEARER.fullmatch(found[0].strip())
+        return Err(
+            Unauthenticated("the request has more than one Authorization header")
+        )
+    match = _BEARER_PATTERN.fullmatch(found[0].strip())
     if match is None:
-        return Err(Unauthenticated("the authorization is no bearer token"))
+        return Err(
+            Unauthenticated("the Authorization header is not a valid bearer token")
+        )
     return Ok(match[1])
 
 
 def without_key(headers: Headers) -> Headers:
-    """Drop what a caller presents, which targets must not see."""
+    """Remove ``Authorization`` headers, which must not be forwarded to targets."""
     return tuple(item for item in headers if item[0].lower() != AUTHORIZATION)
 
 
@@ -80,9 +88,9 @@
     """
     Index the keys of all organisations by digest.
 
-    A key that two organisations hold is the first one's.
+    A key that several organisations hold is assigned to the first of them.
 
-    :param keys_by_organisation: each organisation with its keys.
+    :param keys_by_organisation: pairs of an organisation and its keys.
     """
     organisations_by_digest: dict[bytes, Organisation] = {}
     for organisation, keys in keys_by_organisation:
--- a/pimentolink/authentication.py
+++ b/pimentolink/authentication.py
@@ -1,4 +1,4 @@
-"""Decides whose request it is, before anything else is done for it."""
+"""Authenticates a request by its API key before it is processed further."""
 
 from __future__ import annotations
 
@@ -15,16 +15,17 @@
     """
     Finds the organisation that holds a caller's API key.
 
-    Guards that no key is used longer after its revocation than the bound allows: with
-    a configuration that may be outdated, every key is refused as not run. That goes for
-    keys that it does not know as well, since a newer one may have added them.
+    Keeps a revoked key from being accepted for longer than the maximum age of the
+    configuration. If the configuration may be outdated, every request with a key is
+    refused with a failure that states that it was not run. This includes unknown keys,
+    since a newer configuration may have added them.
     """
 
     def __init__(self, age: ConfigurationAge) -> None:
         """
-        Prepare.
+        Create an authenticator.
 
-        :param age: of the configuration in force.
+        :param age: tells whether the configuration in force is current.
         """
         self._age = age
 
@@ -32,18 +33,19 @@
         self, table: RoutingTable, route: Route, headers: Headers
     ) -> Result[Organisation | None, Unauthenticated | ConfigurationOutdated]:
         """
-        Find out who asks.
+        Authenticate a request.
 
-        :param table: the configuration in force.
-        :param route: that the request matched.
-        :param headers: of the request.
-        :returns: the organisation; ``None`` where none is asked for.
+        :param table: routing table of the configuration in force.
+        :param route: route that the request matched.
+        :param headers: headers of the request.
+        :returns: the organisation, or ``None`` if the route requires no API key or the
+            configuration has none.
         """
         keys = table.api_keys
         if keys is None or not route.needs_key:
             return Ok(None)
         if not self._age.is_current():
-            self._age.look()
+            self._age.log_transition()
             detail = "the configuration may be outdated"
             return Err(ConfigurationOutdated(detail, USUAL_PAUSE))
         key = read_key(headers)
--- a/pimentolink/configurationage.py
+++ b/pimentolink/configurationage.py
@@ -1,99 +1,100 @@
-"""How long ago the configuration in force was known to be the newest."""
+"""Tracks when the configuration in force was last verified as the newest."""
 
 from __future__ import annotations
 
 from pimentolink.logs import Log, LogEvent
 from pimentolink.timers import Timers
 
-# Seconds by which clocks of two instances may differ over the bound.
-CLOCK_MARGIN = 0.1
-# Seconds after a restore within which operators and targets have written again what
-# they wrote since the copy.
+# Seconds by which the clocks of two instances may drift apart within the maximum age.
+CLOCK_DRIFT_MARGIN = 0.1
+# Seconds after a restore of the store within which operators and targets have rewritten
+# what they wrote after the backup was taken.
 REWRITE_TIME = 2.0
 
 
 class ConfigurationAge:
     """
-    Tells whether a revoked API key can still be taken for valid here.
+    Tracks the age of the configuration, which bounds the use of revoked API keys.
 
-    The age counts from the sending of the last question whose answer showed that the
-    configuration in force was the newest, on the clock that goes on while the instance
-    is suspended. It grows while nothing is heard, whatever the reason.
+    The age is the time since the last request was sent whose response verified that the
+    configuration in force is the newest. It is measured on the boot clock, which
+    advances while the instance is suspended. It grows while no response arrives,
+    whatever the reason.
     """
 
     def __init__(self, bound: float | None, timers: Timers, log: Log) -> None:
         """
-        Begin with a configuration of which nothing is known.
+        Start with a configuration that has not been verified.
 
-        :param bound: seconds after which it no longer counts as current; ``None`` if
-            it always does.
+        :param bound: age in seconds at which the configuration is no longer current;
+            ``None`` if it is always current.
         :param timers: the timer service.
-        :param log: where changes go.
+        :param log: records when the configuration becomes current or outdated.
         """
-        self._bound = bound - CLOCK_MARGIN if bound is not None else None
+        self._bound = bound - CLOCK_DRIFT_MARGIN if bound is not None else None
         self._timers = timers
         self._log = log
-        self._proven_at: float | None = None
+        self._verified_at: float | None = None
         self._epoch: int | None = None
-        self._not_before = 0.0
+        self._verifiable_from = 0.0
         self._is_readable = True
         self._was_current = False
 
     def clock(self) -> float:
-        """Read the clock on which :meth:`proven` expects its moment, in seconds."""
+        """Return the time in seconds on the clock that :meth:`proven` expects."""
         return self._timers.boot_time()
 
     def proven(self, asked_at: float, epoch: int) -> None:
         """
-        Learn that the configuration in force is the newest that the store has.
+        Record that the configuration in force is the newest that the store has.
 
-        In a new epoch that proves nothing until operators had the time to write again
-        what the store lost.
+        A new epoch means that the store was restored from a backup. Requests sent less
+        than ``REWRITE_TIME`` after it was noticed verify nothing, since a revocation
+        may be missing from the store until operators have rewritten it.
 
-        :param asked_at: when the question was sent whose answer shows it; see
-            :meth:`clock`.
-        :param epoch: of the store.
+        :param asked_at: when the verifying request was sent; see :meth:`clock`.
+        :param epoch: epoch of the store that the response came from.
         """
         if self._epoch is not None and epoch < self._epoch:
             return
         if self._epoch is not None and epoch > self._epoch:
-            self._not_before = self.clock() + REWRITE_TIME
+            self._verifiable_from = self.clock() + REWRITE_TIME
         self._epoch = epoch
-        if not self._is_readable or asked_at < self._not_before:
+        if not self._is_readable or asked_at < self._verifiable_from:
             return
-        if self._proven_at is None or asked_at > self._proven_at:
-            self._proven_at = asked_at
-        self.look()
+        if self._verified_at is None or asked_at > self._verified_at:
+            self._verified_at = asked_at
+        self.log_transition()
 
     def read(self, is_readable: bool) -> None:
         """
-        Learn whether the newest configuration could be read.
+        Record whether the newest configuration could be parsed.
 
-        One that cannot be read may take keys away, so nothing proves the one in force
-        until the next that can.
+        A configuration that cannot be parsed may revoke keys, so the one in force
+        cannot be verified until the next one that can be parsed.
         """
         self._is_readable = is_readable
 
     @property
     def epoch(self) -> int:
-        """The newest epoch of the store that is known."""
+        """The newest known epoch of the store; 0 if none is known."""
         return self._epoch or 0
 
     def age(self) -> float | None:
-        """Tell the age in seconds; ``None`` before the first proof."""
-        if self._proven_at is None:
+        """Return the age in seconds; ``None`` before the first verification."""
+        if self._verified_at is None:
             return None
-        return max(0.0, self.clock() - self._proven_at)
+        return max(0.0, self.clock() - self._verified_at)
 
     def is_current(self) -> bool:
-        """Tell whether requests with API keys may be served."""
+        """Return whether requests with API keys may be served."""
         if self._bound is None:
             return True
         age = self.age()
         return age is not None and age < self._bound
 
-    def look(self) -> None:
-        """Log a change of :meth:`is_current`."""
+    def log_transition(self) -> None:
+        """Log if :meth:`is_current` has changed since the last call."""
         is_current = self.is_current()
         if is_current is self._was_current:
             return
--- a/pimentolink/configurationverifier.py
+++ b/pimentolink/configurationverifier.py
@@ -1,4 +1,4 @@
-"""Keeps proving at a steady pace that the configuration in force is the newest."""
+"""Verifies periodically that the configuration in force is the newest."""
 
 from __future__ import annotations
 
@@ -19,39 +19,43 @@
 )
 from pimentolink.timers import Timers, in_background, pause
 
-# Share of the bound on the age after which a proof is renewed, and at which another
-# gateway's is still taken. Together they leave time for a question without an answer.
+# Fractions of the maximum age: the interval between verifications, and the age up to
+# which a verification by another gateway is accepted. Their sum leaves time for a
+# request that gets no response.
 RENEWAL_SHARE = 0.3
-OLDEST_SHARE = 0.4
-# Shares after which a question that proved nothing is asked again: the first time, and
-# at most.
-RETRY_FIRST = 0.06
-RETRY_MOST = 0.2
-# Seconds in which another gateway answers, and for which one that did not is not asked.
+PEER_MAX_AGE_SHARE = 0.4
+# Fractions of the maximum age after which a failed verification is retried: the initial
+# and the maximum delay.
+RETRY_INITIAL_SHARE = 0.06
+RETRY_MAX_SHARE = 0.2
+# Seconds to wait for a reply from another gateway, and seconds for which a gateway that
+# did not reply is not asked again.
 PEER_TIMEOUT = 0.1
-PEER_PAUSE = 5.0
-# Gateways for each one that reads the key, so that answering costs it little.
-ASKERS = 24
+PEER_RETRY_DELAY = 5.0
+# Number of gateways per reader of the key, which limits a reader's load from replies.
+GATEWAYS_PER_READER = 24
 
 
 class VerificationPeers(Protocol):
-    """Sends messages to some gateways."""
+    """Sends messages to other gateways."""
 
     def send_to(self, gateways: Iterable[str], messages: list[Message]) -> None:
-        """Tell some gateways, by name."""
+        """Send messages to the gateways with these names."""
 
 
 class ConfigurationVerifier:
     """
-    Reads the configuration's key, or asks a gateway that reads it.
+    Verifies the configuration by reading its key, or by asking a gateway that does.
 
-    A watch without news proves nothing: one whose connection fell silent, or that the
-    store forgot, looks the same. So the key is read by some gateways of a cell, which
-    all derive alike, and the others ask one of those. A gateway whose question proves
-    nothing reads the key itself.
+    A watch that reports no change does not verify the configuration: a stalled
+    connection, or a watch that the store has dropped, looks the same. Some gateways of
+    a cell, the readers, therefore read the key, and each other gateway asks a reader.
+    All gateways select the readers by the same hash. A gateway that cannot verify its
+    configuration with a reader reads the key itself.
 
-    An answer of another gateway is worth what it proves at its oldest: its age is taken
-    from the moment at which the question was sent here, on the clock here.
+    The age in a reader's reply is added to the time since this gateway sent its
+    request, on its own clock. This overestimates the age by the time that the request
+    took to arrive, and never underestimates it.
     """
 
     def __init__(
@@ -65,14 +69,14 @@
         timers: Timers,
     ) -> None:
         """
-        Prepare; :meth:`start` begins.
-
-        :param instance: this gateway's.
-        :param key: of the configuration.
-        :param keyspace: the store.
-        :param age: learns what the answers prove.
-        :param bound: seconds after which the configuration counts as outdated.
-        :param peers: the other gateways.
+        Create a verifier; :meth:`start` starts it.
+
+        :param instance: instance name of this gateway.
+        :param key: key of the configuration in the store.
+        :param keyspace: client of the store.
+        :param age: records successful verifications.
+        :param bound: maximum age of the configuration, in seconds.
+        :param peers: sends messages to the other gateways.
         :param timers: the timer service.
         """
         self._instance = instance
@@ -83,29 +87,29 @@
         self._peers = peers
         self._timers = timers
         self._revision = 0
-        self._number = 0
-        self._answer: Deferred[VerificationReply | None] | None = None
-        self._silent = ""
-        self._silent_until = 0.0
+        self._request_number = 0
+        self._pending_reply: Deferred[VerificationReply | None] | None = None
+        self._unresponsive_peer = ""
+        self._unresponsive_until = 0.0
         self._running: Deferred[None] | None = None
         self.is_needed: Callable[[], bool] = lambda: True
-        # Whether the store may answer; while it does not, each try costs a call.
+        # Whether to query the store; avoids useless calls while it does not respond.
         self.may_ask: Callable[[], bool] = lambda: True
         self.gateways: Callable[[], Iterable[str]] = tuple
         self.version: Callable[[], int] = int
         self.on_change: Callable[[Change], None] = lambda change: None
 
     def start(self) -> None:
-        """Prove from now on."""
+        """Start periodic verification."""
         self._running = in_background(self._run())
 
     def stop(self) -> None:
-        """Prove no more."""
+        """Stop periodic verification."""
         if self._running is not None:
             self._running.cancel()
 
     def restart(self) -> None:
-        """Prove now: this process stood still, or the store was restored."""
+        """Verify immediately, after a process suspension or a restore of the store."""
         self.stop()
         self.start()
 
@@ -113,102 +117,110 @@
         self, message: VerificationMessage, answer: Callable[[Message], None]
     ) -> None:
         """
-        Answer another gateway, or take its answer.
+        Answer a request from another gateway, or process its reply.
 
-        :param answer: sends a message back to where this one came from; a gateway that
-            has just started may not be listed here yet.
+        :param message: the request or reply.
+        :param answer: sends a message to the address that this one came from, since a
+            gateway that has just started may not be listed here yet.
         """
         if isinstance(message, VerificationRequest):
-            self._tell(message, answer)
-        elif message.number == self._number:
-            self._answered(message)
+            self._reply(message, answer)
+        elif message.number == self._request_number:
+            self._resolve_reply(message)
 
-    def _tell(
-        self, asked: VerificationRequest, answer: Callable[[Message], None]
+    def _reply(
+        self, request: VerificationRequest, answer: Callable[[Message], None]
     ) -> None:
         age = self._age.age()
         if age is None:
             return
-        # Rounded up: an answer must not look newer than it is.
+        # Rounded up, so that the reported age is never below the actual age.
         age_ms = int(age * 1000) + 1
-        answer(VerificationReply(asked.number, self.version(), self._age.epoch, age_ms))
+        answer(
+            VerificationReply(request.number, self.version(), self._age.epoch, age_ms)
+        )
 
     async def _run(self) -> None:
-        retry = RETRY_FIRST
+        retry = RETRY_INITIAL_SHARE
         while True:
-            is_proven = not self.is_needed() or await self._prove()
-            self._age.look()
-            share = RENEWAL_SHARE if is_proven else retry
-            retry = RETRY_FIRST if is_proven else min(RETRY_MOST, 2 * retry)
+            is_verified = not self.is_needed() or await self._verify()
+            self._age.log_transition()
+            share = RENEWAL_SHARE if is_verified else retry
+            retry = (
+                RETRY_INITIAL_SHARE if is_verified else min(RETRY_MAX_SHARE, 2 * retry)
+            )
             await pause(self._timers, share * self._bound)
 
-    async def _prove(self) -> bool:
+    async def _verify(self) -> bool:
         """
-        Prove once.
+        Verify the configuration once.
 
-        :returns: whether there was an answer.
+        :returns: whether a reader verified it or the store responded.
         """
-        reader = self._reader()
-        if reader is not None and await self._ask_gateway(reader):
+        reader = self._select_reader()
+        if reader is not None and await self._verify_with_peer(reader):
             return True
-        return self.may_ask() and await self._ask_store()
+        return self.may_ask() and await self._verify_with_store()
 
-    def _reader(self) -> str | None:
-        """Choose who reads the key for this gateway; ``None`` if it does so itself."""
-        order = sorted({*self.gateways(), self._instance}, key=_rank)
-        readers = order[: -(-len(order) // ASKERS)]
+    def _select_reader(self) -> str | None:
+        """Return the reader to ask; ``None`` if this gateway reads the key itself."""
+        order = sorted({*self.gateways(), self._instance}, key=_hash_of)
+        readers = order[: -(-len(order) // GATEWAYS_PER_READER)]
         if self._instance in readers:
             return None
-        reader = readers[_rank(self._instance) % len(readers)]
-        is_silent = reader == self._silent and self._timers.now() < self._silent_until
-        return None if is_silent else reader
-
-    async def _ask_gateway(self, gateway: str) -> bool:
+        reader = readers[_hash_of(self._instance) % len(readers)]
+        is_unresponsive = (
+            reader == self._unresponsive_peer
+            and self._timers.now() < self._unresponsive_until
+        )
+        return None if is_unresponsive else reader
+
+    async def _verify_with_peer(self, gateway: str) -> bool:
         asked_at = self._age.clock()
-        answer = await self._answer_of(gateway)
+        answer = await self._request_from_peer(gateway)
         if answer is None:
-            self._silent = gateway
-            self._silent_until = self._timers.now() + PEER_PAUSE
+            self._unresponsive_peer = gateway
+            self._unresponsive_until = self._timers.now() + PEER_RETRY_DELAY
             return False
         age = answer.age_ms / 1000
-        if answer.version > self.version() or age > OLDEST_SHARE * self._bound:
+        if answer.version > self.version() or age > PEER_MAX_AGE_SHARE * self._bound:
             return False
         self._age.proven(asked_at - age, answer.epoch)
         return True
 
-    async def _answer_of(self, gateway: str) -> VerificationReply | None:
-        self._number += 1
+    async def _request_from_peer(self, gateway: str) -> VerificationReply | None:
+        self._request_number += 1
         waiting: Deferred[VerificationReply | None] = Deferred()
-        self._answer = waiting
-        self._peers.send_to([gateway], [VerificationRequest(self._number)])
-        timer = self._timers.call_later(PEER_TIMEOUT, lambda: self._answered(None))
+        self._pending_reply = waiting
+        self._peers.send_to([gateway], [VerificationRequest(self._request_number)])
+        timer = self._timers.call_later(PEER_TIMEOUT, lambda: self._resolve_reply(None))
         try:
             return await waiting
         finally:
             timer.cancel()
-            self._answer = None
+            self._pending_reply = None
 
-    def _answered(self, answer: VerificationReply | None) -> None:
-        waiting, self._answer = self._answer, None
+    def _resolve_reply(self, answer: VerificationReply | None) -> None:
+        waiting, self._pending_reply = self._pending_reply, None
         if waiting is not None:
             waiting.callback(answer)
 
-    async def _ask_store(self) -> bool:
+    async def _verify_with_store(self) -> bool:
         asked_at = self._age.clock()
         try:
             found = await self._keyspace.read(self._key)
         except KeyValueUnavailable:
             return False
         if found is not None:
-            self._take(found)
+            self._apply(found)
             self._age.proven(asked_at, epoch_of(found.revision))
         return True
 
-    def _take(self, found: Item) -> None:
+    def _apply(self, found: Item) -> None:
         if found.revision != self._revision:
             self._revision = found.revision
             self.on_change(Change(found.key, found.value, found.revision))
 
 
-def _rank(gateway: str) -> int:
+def _hash_of(gateway: str) -> int:
     return int(xxhash.xxh3_64_intdigest(gateway.encode()))
--- a/tests/test_apikeys.py
+++ b/tests/test_apikeys.py
@@ -1,4 +1,4 @@
-"""API keys as callers present them."""
+"""Tests of API keys and of reading them from request headers."""
 
 from hypothesis import given
 from hypothesis import strategies as st
--- a/tests/test_configurationverifier.py
+++ b/tests/test_configurationverifier.py
@@ -1,4 +1,4 @@
-"""Until when a configuration counts as current, whatever happens to the store."""
+"""Tests of how long a configuration counts as current when the store fails."""
 
 import json
 from random import Random
@@ -25,14 +25,14 @@
     return json.dumps({"version": version, "routes": [], "tenants": tenants}).encode()
 
 
-class SilentKeyspace(MemoryKeyspace):
-    """A store that can take a question and answer late, from an old copy, or never."""
+class FaultyKeyspace(MemoryKeyspace):
+    """A store that can delay the results of reads and leave watches unanswered."""
 
     def __init__(self, timers):
         super().__init__(timers)
         self.timers = timers
         self.delay = 0.0
-        self.is_deaf = False
+        self.drops_watches = False
 
     def read(self, key):
         found = super().read(key)
@@ -43,24 +43,24 @@
         return later
 
     def changes(self, prefix, after, wait):
-        if self.is_deaf:
+        if self.drops_watches:
             return Deferred()
         return super().changes(prefix, after, wait)
 
 
-class Peers:
-    """Carries questions and answers between gateways, late, or not at all."""
+class PeerNetwork:
+    """Delivers messages between gateways after a delay, or drops them."""
 
     def __init__(self, timers):
         self.timers = timers
         self.verifiers = {}
         self.delay = 0.002
-        self.is_cut = False
+        self.is_partitioned = False
         self.sent = 0
 
-    def of(self, name):
-        """Make what one gateway sends with."""
-        return _Sender(self, name)
+    def sender_for(self, name):
+        """Return the sender of one gateway."""
+        return _PeerSender(self, name)
 
     def broadcast(self, sender, gateways, messages):
         for name in gateways:
@@ -69,14 +69,14 @@
 
     def _send(self, receiver, message, sender):
         def arrive():
-            receiver.take(message, lambda told: self._send(sender, told, receiver))
+            receiver.take(message, lambda reply: self._send(sender, reply, receiver))
 
         self.sent += 1
-        if not self.is_cut:
+        if not self.is_partitioned:
             self.timers.call_later(self.delay, arrive)
 
 
-class _Sender:
+class _PeerSender:
     def __init__(self, peers, name):
         self.peers, self.name = peers, name
 
@@ -85,11 +85,11 @@
 
 
 class Gateway:
-    """What decides on keys in one gateway."""
+    """The parts of one gateway that decide whether an API key is accepted."""
 
     def __init__(self, timers, store, name="g0", peers=None):
         self.store = store
-        peers = peers or Peers(timers)
+        peers = peers or PeerNetwork(timers)
         settings, log = gateway_settings().store, Log()
         self.tables = RoutingTables()
         self.age = ConfigurationAge(BOUND, timers, log)
@@ -100,7 +100,13 @@
             "", store, self.membership, settings, timers, Random(1), log
         )
         self.verifier = ConfigurationVerifier(
-            name, CONFIGURATION_KEY, store, self.age, BOUND, peers.of(name), timers
+            name,
+            CONFIGURATION_KEY,
+            store,
+            self.age,
+            BOUND,
+            peers.sender_for(name),
+            timers,
         )
         peers.verifiers[name] = self.verifier
         self.verifier.gateways = lambda: peers.verifiers
@@ -122,18 +128,18 @@
 
 @pytest.fixture
 def store(timers):
-    found = SilentKeyspace(timers)
+    found = FaultyKeyspace(timers)
     found.put(CONFIGURATION_KEY, configuration(1, "k", "l"))
     return found
 
 
-def longest_use(timers, gateway, key, seconds=20.0):
-    """Tell until how long from now a key is served."""
-    began_at = timers.boot_time()
+def seconds_served(timers, gateway, key, seconds=20.0):
+    """Return the seconds from now until a key is accepted for the last time."""
+    started_at = timers.boot_time()
     last = 0.0
-    while timers.boot_time() - began_at < seconds:
+    while timers.boot_time() - started_at < seconds:
         if gateway.serves(key):
-            last = timers.boot_time() - began_at
+            last = timers.boot_time() - started_at
         timers.advance(0.05)
     return last
 
@@ -149,22 +155,22 @@
         gateway = Gateway(timers, store)
         timers.advance(7.0)
         store.put(CONFIGURATION_KEY, configuration(2, "l"))
-        assert longest_use(timers, gateway, b"k") <= 0.3
+        assert seconds_served(timers, gateway, b"k") <= 0.3
         assert gateway.serves(b"l")
 
     def test_gateway_that_is_cut_off_stops_within_the_bound(self, timers, store):
         gateway = Gateway(timers, store)
         timers.advance(7.3)
         store.set_down(True)
-        assert 0.4 * BOUND <= longest_use(timers, gateway, b"k") < BOUND
+        assert 0.4 * BOUND <= seconds_served(timers, gateway, b"k") < BOUND
 
     def test_silent_watch_proves_nothing(self, timers, store):
         gateway = Gateway(timers, store)
-        store.is_deaf = True
+        store.drops_watches = True
         timers.advance(7.3)
         gateway.follower.restart()
         store.put(CONFIGURATION_KEY, configuration(2, "l"))
-        assert longest_use(timers, gateway, b"k") < BOUND
+        assert seconds_served(timers, gateway, b"k") < BOUND
         assert gateway.serves(b"l")
 
     def test_answer_that_was_long_on_its_way_proves_no_more(self, timers, store):
@@ -172,10 +178,10 @@
         timers.advance(1.9)
         store.delay = 4.0
         timers.advance(0.5)
-        store.is_deaf = True
+        store.drops_watches = True
         gateway.follower.restart()
         store.put(CONFIGURATION_KEY, configuration(2, "l"))
-        assert longest_use(timers, gateway, b"k") < BOUND
+        assert seconds_served(timers, gateway, b"k") < BOUND
 
     def test_suspended_instance_wakes_without_trust(self, timers, store):
         gateway = Gateway(timers, store)
@@ -188,7 +194,7 @@
         gateway = Gateway(timers, store)
         timers.advance(7.0)
         store.put(CONFIGURATION_KEY, b"{")
-        assert longest_use(timers, gateway, b"k") < BOUND
+        assert seconds_served(timers, gateway, b"k") < BOUND
         store.put(CONFIGURATION_KEY, configuration(3, "l"))
         timers.advance(3.0)
         assert gateway.serves(b"l")
@@ -221,7 +227,7 @@
         gateway.follower.restart()
         timers.advance(REWRITE_TIME)
         store.put(CONFIGURATION_KEY, configuration(2, "l"))
-        used = longest_use(timers, gateway, b"k", 5.0)
+        used = seconds_served(timers, gateway, b"k", 5.0)
         assert timers.boot_time() - revoked_at > BOUND
         assert used == 0.0
         timers.advance(1.0)
@@ -240,15 +246,15 @@
 
 
 class World:
-    """Gateways that ask each other; each may be cut off from the store by itself."""
+    """Gateways that ask each other; each has its own store, which may fail alone."""
 
     def __init__(self, timers, gateways):
         self.timers = timers
-        self.peers = Peers(timers)
+        self.peers = PeerNetwork(timers)
         self.stores = []
         self.gateways = []
         for number in range(gateways):
-            store = SilentKeyspace(timers)
+            store = FaultyKeyspace(timers)
             self.stores.append(store)
             store.put(CONFIGURATION_KEY, configuration(1, "k", "l"))
             found = Gateway(timers, store, f"g{number}", self.peers)
@@ -278,27 +284,31 @@
         world = World(timers, 4)
         timers.advance(10.3)
         world.stores[number].set_down(True)
-        reader = world.gateways[0].verifier._reader() or "g0"
+        reader = world.gateways[0].verifier._select_reader() or "g0"
         for _ in range(200):
             timers.advance(0.05)
             if reader != f"g{number}":
                 assert world.gateways[number].serves(b"k")
 
     def test_gateways_that_are_all_turned_away_stop_within_the_bound(self, timers):
-        """Ages add up: gateways that only hear each other prove nothing."""
+        """
+        Guards against gateways that verify each other without the store.
+
+        Each reply includes the age of the replying gateway, so that ages accumulate.
+        """
         world = World(timers, 5)
         timers.advance(10.3)
         for store in world.stores:
             store.set_down(True)
         for gateway in world.gateways:
-            assert longest_use(timers, gateway, b"k", 8.0) < BOUND
+            assert seconds_served(timers, gateway, b"k", 8.0) < BOUND
 
     def test_late_answers_prove_no_more_than_prompt_ones(self, timers):
         world = World(timers, 5)
         timers.advance(10.3)
         world.peers.delay = 0.045
         for store in world.stores:
-            store.is_deaf = True
+            store.drops_watches = True
         for gateway in world.gateways:
             gateway.follower.restart()
         world.revoke()
@@ -311,7 +321,7 @@
     def test_gateways_that_do_not_hear_each_other_ask_the_store(self, timers):
         world = World(timers, 5)
         timers.advance(10.3)
-        world.peers.is_cut = True
+        world.peers.is_partitioned = True
         for _ in range(200):
             timers.advance(0.05)
             assert all(gateway.serves(b"k") for gateway in world.gateways)
@@ -319,7 +329,7 @@
     def test_gateway_behind_the_others_reads_the_newer_configuration(self, timers):
         world = World(timers, 3)
         for store in world.stores:
-            store.is_deaf = True
+            store.drops_watches = True
         timers.advance(10.3)
         for gateway in world.gateways:
             gateway.follower.restart()
