--- a/pimentolink/apikeys.py
+++ b/pimentolink/apikeys.py
@@ -62,14 +62,14 @@
     :param headers: headers of the request.
     :returns: the key, or the reason why the request is not authenticated.
     """
-    found = [value for name, value in headers if name.lower() == AUTHORIZATION]
-    if not found:
+    authorizations = [value for name, value in headers if name.lower() == AUTHORIZATION]
+    if not authorizations:
         return Err(Unauthenticated("the request has no Authorization header"))
-    if len(found) > 1:
+    if len(authorizations) > 1:
         return Err(
             Unauthenticated("the request has more than one Authorization header")
         )
-    match = _BEARER_PATTERN.fullmatch(found[0].strip())
+    match = _BEARER_PATTERN.fullmatch(authorizations[0].strip())
     if match is None:
         return Err(
             Unauthenticated("the Authorization header is not a valid bearer token")
--- a/pimentolink/configurationage.py
+++ b/pimentolink/configurationage.py
@@ -22,16 +22,16 @@
     whatever the reason.
     """
 
-    def __init__(self, bound: float | None, timers: Timers, log: Log) -> None:
+    def __init__(self, max_age: float | None, timers: Timers, log: Log) -> None:
         """
         Start with a configuration that has not been verified.
 
-        :param bound: age in seconds at which the configuration is no longer current;
+        :param max_age: age in seconds at which the configuration is no longer current;
             ``None`` if it is always current.
         :param timers: the timer service.
         :param log: records when the configuration becomes current or outdated.
         """
-        self._bound = bound - CLOCK_DRIFT_MARGIN if bound is not None else None
+        self._max_age = max_age - CLOCK_DRIFT_MARGIN if max_age is not None else None
         self._timers = timers
         self._log = log
         self._verified_at: float | None = None
@@ -88,10 +88,10 @@
 
     def is_current(self) -> bool:
         """Return whether requests with API keys may be served."""
-        if self._bound is None:
+        if self._max_age is None:
             return True
         age = self.age()
-        return age is not None and age < self._bound
+        return age is not None and age < self._max_age
 
     def log_transition(self) -> None:
         """Log if :meth:`is_current` has changed since the last call."""
@@ -103,5 +103,5 @@
         self._log.write(
             LogEvent.KEYS_TRUSTED if is_current else LogEvent.KEYS_DISTRUSTED,
             age=None if age is None else round(age, 3),
-            bound=self._bound,
+            bound=self._max_age,
         )
--- a/pimentolink/configurationverifier.py
+++ b/pimentolink/configurationverifier.py
@@ -64,7 +64,7 @@
         key: str,
         keyspace: Keyspace,
         age: ConfigurationAge,
-        bound: float,
+        max_age: float,
         peers: VerificationPeers,
         timers: Timers,
     ) -> None:
@@ -75,7 +75,7 @@
         :param key: key of the configuration in the store.
         :param keyspace: client of the store.
         :param age: records successful verifications.
-        :param bound: maximum age of the configuration, in seconds.
+        :param max_age: maximum age of the configuration, in seconds.
         :param peers: sends messages to the other gateways.
         :param timers: the timer service.
         """
@@ -83,7 +83,7 @@
         self._key = key
         self._keyspace = keyspace
         self._age = age
-        self._bound = bound
+        self._max_age = max_age
         self._peers = peers
         self._timers = timers
         self._revision = 0
@@ -114,29 +114,29 @@
         self.start()
 
     def take(
-        self, message: VerificationMessage, answer: Callable[[Message], None]
+        self, message: VerificationMessage, send_reply: Callable[[Message], None]
     ) -> None:
         """
         Answer a request from another gateway, or process its reply.
 
         :param message: the request or reply.
-        :param answer: sends a message to the address that this one came from, since a
-            gateway that has just started may not be listed here yet.
+        :param send_reply: sends a message to the address that this one came from, since
+            a gateway that has just started may not be listed here yet.
         """
         if isinstance(message, VerificationRequest):
-            self._reply(message, answer)
+            self._reply(message, send_reply)
         elif message.number == self._request_number:
             self._resolve_reply(message)
 
     def _reply(
-        self, request: VerificationRequest, answer: Callable[[Message], None]
+        self, request: VerificationRequest, send_reply: Callable[[Message], None]
     ) -> None:
         age = self._age.age()
         if age is None:
             return
         # Rounded up, so that the reported age is never below the actual age.
         age_ms = int(age * 1000) + 1
-        answer(
+        send_reply(
             VerificationReply(request.number, self.version(), self._age.epoch, age_ms)
         )
 
@@ -149,7 +149,7 @@
             retry = (
                 RETRY_INITIAL_SHARE if is_verified else min(RETRY_MAX_SHARE, 2 * retry)
             )
-            await pause(self._timers, share * self._bound)
+            await pause(self._timers, share * self._max_age)
 
     async def _verify(self) -> bool:
         """
@@ -177,15 +177,15 @@
 
     async def _verify_with_peer(self, gateway: str) -> bool:
         asked_at = self._age.clock()
-        answer = await self._request_from_peer(gateway)
-        if answer is None:
+        reply = await self._request_from_peer(gateway)
+        if reply is None:
             self._unresponsive_peer = gateway
             self._unresponsive_until = self._timers.now() + PEER_RETRY_DELAY
             return False
-        age = answer.age_ms / 1000
-        if answer.version > self.version() or age > PEER_MAX_AGE_SHARE * self._bound:
+        age = reply.age_ms / 1000
+        if reply.version > self.version() or age > PEER_MAX_AGE_SHARE * self._max_age:
             return False
-        self._age.proven(asked_at - age, answer.epoch)
+        self._age.proven(asked_at - age, reply.epoch)
         return True
 
     async def _request_from_peer(self, gateway: str) -> VerificationReply | None:
@@ -200,26 +200,26 @@
             timer.cancel()
             self._pending_reply = None
 
-    def _resolve_reply(self, answer: VerificationReply | None) -> None:
+    def _resolve_reply(self, reply: VerificationReply | None) -> None:
         waiting, self._pending_reply = self._pending_reply, None
         if waiting is not None:
-            waiting.callback(answer)
+            waiting.callback(reply)
 
     async def _verify_with_store(self) -> bool:
         asked_at = self._age.clock()
         try:
-            found = await self._keyspace.read(self._key)
+            item = await self._keyspace.read(self._key)
         except KeyValueUnavailable:
             return False
-        if found is not None:
-            self._apply(found)
-            self._age.proven(asked_at, epoch_of(found.revision))
+        if item is not None:
+            self._apply(item)
+            self._age.proven(asked_at, epoch_of(item.revision))
         return True
 
-    def _apply(self, found: Item) -> None:
-        if found.revision != self._revision:
-            self._revision = found.revision
-            self.on_change(Change(found.key, found.value, found.revision))
+    def _apply(self, item: Item) -> None:
+        if item.revision != self._revision:
+            self._revision = item.revision
+            self.on_change(Change(item.key, item.value, item.revision))
 
 
 def _hash_of(gateway: str) -> int:
--- a/pimentolink/retry.py
+++ b/pimentolink/retry.py
@@ -26,8 +26,8 @@
 
     def earn(self) -> None:
         """Add the credit of one request to the balance."""
-        most = float(self._settings.budget_reserve)
-        self._balance = min(most, self._balance + self._settings.budget_ratio)
+        maximum = float(self._settings.budget_reserve)
+        self._balance = min(maximum, self._balance + self._settings.budget_ratio)
 
     def spend(self) -> bool:
         """
@@ -49,16 +49,16 @@
     between half that limit and the limit.
     """
 
-    def __init__(self, first: float, most: float, random: Random) -> None:
+    def __init__(self, initial: float, maximum: float, random: Random) -> None:
         """
         Start with no failures.
 
-        :param first: upper limit of the first delay, in seconds.
-        :param most: upper limit of any delay, in seconds.
+        :param initial: upper limit of the first delay, in seconds.
+        :param maximum: upper limit of any delay, in seconds.
         :param random: seeded random number generator.
         """
-        self._first = first
-        self._most = most
+        self._initial = initial
+        self._maximum = maximum
         self._random = random
         self._failures = 0
 
@@ -68,7 +68,7 @@
 
         :returns: seconds to wait before the next attempt.
         """
-        ceiling = min(self._most, self._first * 2**self._failures)
+        ceiling = min(self._maximum, self._initial * 2**self._failures)
         self._failures = min(self._failures + 1, 30)
         return self._random.uniform(ceiling / 2, ceiling)
 
--- a/tests/test_configurationverifier.py
+++ b/tests/test_configurationverifier.py
@@ -35,11 +35,11 @@
         self.drops_watches = False
 
     def read(self, key):
-        found = super().read(key)
+        result = super().read(key)
         if not self.delay:
-            return found
+            return result
         later = Deferred()
-        self.timers.call_later(self.delay, lambda: found.chainDeferred(later))
+        self.timers.call_later(self.delay, lambda: result.chainDeferred(later))
         return later
 
     def changes(self, prefix, after, wait):
@@ -128,9 +128,9 @@
 
 @pytest.fixture
 def store(timers):
-    found = FaultyKeyspace(timers)
-    found.put(CONFIGURATION_KEY, configuration(1, "k", "l"))
-    return found
+    keyspace = FaultyKeyspace(timers)
+    keyspace.put(CONFIGURATION_KEY, configuration(1, "k", "l"))
+    return keyspace
 
 
 def seconds_served(timers, gateway, key, seconds=20.0):
@@ -257,8 +257,8 @@
             store = FaultyKeyspace(timers)
             self.stores.append(store)
             store.put(CONFIGURATION_KEY, configuration(1, "k", "l"))
-            found = Gateway(timers, store, f"g{number}", self.peers)
-            self.gateways.append(found)
+            gateway = Gateway(timers, store, f"g{number}", self.peers)
+            self.gateways.append(gateway)
 
     def revoke(self):
         for store in self.stores:
