--- a/pimentolink/crashreports.py
+++ b/pimentolink/crashreports.py
@@ -1,4 +1,4 @@
-"""Finds out which requests were under way at crashes of targets, and tells others."""
+"""Detects crashes of targets, and reports the requests in flight to other gateways."""
 
 from __future__ import annotations
 
@@ -19,172 +19,183 @@
     crash_messages,
 )
 from pimentolink.suspects import Suspects
-from pimentolink.suspicion import SUSPECT_FROM
+from pimentolink.suspicion import MIN_SUSPECT_CRASHES
 from pimentolink.targetestimate import Target, TargetEstimate
 from pimentolink.timers import Timers, pause
 
-# Seconds from telling others of a try until it begins, in which theirs are heard of.
-TRY_NOTICE = 0.05
+# Seconds between the announcement of a trial and its start, in which announcements of
+# other gateways arrive.
+TRIAL_NOTICE = 0.05
 
 IsListening = Callable[[TargetEstimate], Coroutine[Any, Any, bool]]
 
 
 class CrashReports:
     """
-    Watches calls to targets for crashes, and passes on what is known of suspects.
+    Detects crashes of targets, and exchanges reports of them with other gateways.
 
-    A broken connection alone is no crash: targets reset connections and garble answers
-    too. Its target is asked for a new connection, and has crashed if nothing listens
-    there any more, or if its entry goes or is replaced soon.
+    A broken connection alone is not a crash, since targets also reset connections and
+    send malformed responses. The gateway then tries to open a new connection. The
+    target has crashed if nothing listens there any more, or if its entry in the list of
+    targets is soon removed or replaced.
     """
 
     def __init__(
-        self, suspects: Suspects, news: PeerPublisher, timers: Timers, log: Log
+        self, suspects: Suspects, publisher: PeerPublisher, timers: Timers, log: Log
     ) -> None:
         """
         Prepare.
 
-        :param suspects: decides.
-        :param news: tells other gateways.
+        :param suspects: decides which requests may be sent.
+        :param publisher: sends messages to other gateways.
         :param timers: the timer service.
-        :param log: where events go.
+        :param log: receives log events.
         """
         self._suspects = suspects
-        self._news = news
+        self._publisher = publisher
         self._timers = timers
         self._log = log
-        self._asked: set[int] = set()
+        self._checking: set[int] = set()
         self.is_listening: IsListening | None = None
-        # Called with whether this gateway saw the crash itself.
-        self.on_struck: Callable[[bool], None] = lambda is_own: None
+        # Called after a crash was counted, with whether this gateway saw it itself.
+        self.on_crash_recorded: Callable[[bool], None] = lambda is_own: None
         self.on_cleared: Callable[[SuspectCleared], None] = lambda cleared: None
 
     async def admit(self, request: CallerRequest) -> None:
         """
-        Let a request be sent to a target; a suspect only once all know of its try.
+        Check that a request may be sent to a target.
+
+        For a suspect this begins a trial, which is announced to the other gateways
+        before the request may be sent.
 
         :raises Quarantined: if it may not be sent now.
         """
-        self._refuse(request)
+        self._raise_if_refused(request)
         now = self._timers.now()
-        name, request_id = request.fingerprint, request.request_id
-        if self._suspects.try_again(name, request_id, now):
-            self._news.broadcast(SuspectTried(name))
-            crashes = len(self._suspects.crashes(name, now))
+        fingerprint, request_id = request.fingerprint, request.request_id
+        if self._suspects.begin_trial(fingerprint, request_id, now):
+            self._publisher.broadcast(SuspectTried(fingerprint))
+            crashes = len(self._suspects.crashes(fingerprint, now))
             self._log.write(
                 LogEvent.SUSPECT_TRIED,
                 request=request_id,
-                fingerprint=name,
+                fingerprint=fingerprint,
                 crashes=crashes,
             )
-            await pause(self._timers, TRY_NOTICE)
-            self._refuse(request)
-            self._suspects.try_sent(request_id)
+            await pause(self._timers, TRIAL_NOTICE)
+            self._raise_if_refused(request)
+            self._suspects.trial_sent(request_id)
 
-    def _refuse(self, request: CallerRequest) -> None:
+    def _raise_if_refused(self, request: CallerRequest) -> None:
         now = self._timers.now()
         refused = self._suspects.refusal(request.fingerprint, request.request_id, now)
         if refused is not None:
             raise refused
 
     def cut_off(self, request: CallerRequest, estimate: TargetEstimate) -> None:
-        """Learn that a request's exchange with a target did not come to its end."""
+        """Record that a request's exchange with a target was cut off."""
         if estimate.target.is_leaving or estimate.missing_since is not None:
-            # It cuts off what is left when it goes, as it said.
+            # A target that announced its shutdown cuts off what is left when it exits.
             return
-        name, key = request.fingerprint, estimate.target.key
-        if self._suspects.broke(name, request.request_id, key, self._timers.now()):
-            self._tell_struck(key, [name])
+        fingerprint, key = request.fingerprint, estimate.target.key
+        if self._suspects.exchange_broken(
+            fingerprint, request.request_id, key, self._timers.now()
+        ):
+            self._publish_crash(key, [fingerprint])
 
     def connection_lost(self, estimate: TargetEstimate) -> None:
-        """Find out whether a target that broke a connection off still listens."""
+        """Check whether a target that broke a connection still listens."""
         key = estimate.target.key
-        if self.is_listening is None or key in self._asked:
+        if self.is_listening is None or key in self._checking:
             return
-        self._asked.add(key)
-        Deferred.fromCoroutine(self._ask(estimate, self.is_listening))
+        self._checking.add(key)
+        Deferred.fromCoroutine(self._check_listening(estimate, self.is_listening))
 
-    async def _ask(self, estimate: TargetEstimate, is_listening: IsListening) -> None:
+    async def _check_listening(
+        self, estimate: TargetEstimate, is_listening: IsListening
+    ) -> None:
         try:
             has_ended = not await is_listening(estimate)
         finally:
-            self._asked.discard(estimate.target.key)
+            self._checking.discard(estimate.target.key)
         if has_ended:
             self.target_ended(estimate.target, "nothing listens")
 
     def target_ended(self, target: Target, sign: str) -> None:
         """
-        Learn that a target's life ended.
+        Report a crash if a target ended without having announced it.
 
-        :param sign: by which it is known.
+        :param sign: how the end was detected.
         """
         if target.is_leaving:
             return
-        struck = self._suspects.ended(target.key, self._timers.now())
-        if not struck:
+        recorded = self._suspects.target_ended(target.key, self._timers.now())
+        if not recorded:
             return
         self._log.write(
             LogEvent.TARGET_CRASHED,
             target=target.target_id,
             sign=sign,
-            requests=len(struck),
-            fingerprints=struck[:MAX_CRASH_FINGERPRINTS],
+            requests=len(recorded),
+            fingerprints=recorded[:MAX_CRASH_FINGERPRINTS],
         )
-        self._tell_struck(target.key, struck)
-
-    def _tell_struck(self, target: int, struck: list[str]) -> None:
-        for is_tried in (True, False):
-            names = [
-                name
-                for name in struck
-                if self._suspects.is_blamed(name, target) is is_tried
+        self._publish_crash(target.key, recorded)
+
+    def _publish_crash(self, target: int, recorded: list[str]) -> None:
+        for is_trial in (True, False):
+            fingerprints = [
+                fingerprint
+                for fingerprint in recorded
+                if self._suspects.is_blamed(fingerprint, target) is is_trial
             ]
-            for message in crash_messages(target, names, is_tried):
-                self._news.broadcast(message)
-        self._log_suspects(struck, "own")
-        self.on_struck(True)
+            for message in crash_messages(target, fingerprints, is_trial):
+                self._publisher.broadcast(message)
+        self._log_suspects(recorded, "own")
+        self.on_crash_recorded(True)
 
     def answered(self, request: CallerRequest) -> None:
-        """Learn that a request got its whole answer, which clears it."""
-        name = request.fingerprint
-        crashes = self._suspects.answered(name, self._timers.now())
-        if len(crashes) < SUSPECT_FROM:
+        """Clear a request that got its complete response."""
+        fingerprint = request.fingerprint
+        crashes = self._suspects.answered(fingerprint, self._timers.now())
+        if len(crashes) < MIN_SUSPECT_CRASHES:
             return
-        cleared = SuspectCleared(name, crashes[:MAX_CRASHES])
-        self._news.broadcast(cleared)
+        cleared = SuspectCleared(fingerprint, crashes[:MAX_CRASHES])
+        self._publisher.broadcast(cleared)
         self._log_cleared(cleared, "answered")
         self.on_cleared(cleared)
 
     def take(self, message: SuspectMessage, source: str) -> None:
         """
-        Learn from another gateway.
+        Apply a message from another gateway.
 
-        :param source: how its message came.
+        :param source: how the message arrived: "peer" or "store".
         """
         now = self._timers.now()
         if isinstance(message, SuspectTried):
-            self._suspects.tried(message.fingerprint, now)
+            self._suspects.peer_trial_begun(message.fingerprint, now)
             return
         if isinstance(message, SuspectCleared):
             if self._suspects.clear(message.fingerprint, message.targets, now):
                 self._log_cleared(message, source)
             return
-        struck = self._suspects.strike(
+        recorded = self._suspects.record_crash(
             message.target, message.fingerprints, now, message.is_tried
         )
-        if struck:
-            self._log_suspects(struck, source)
-            self.on_struck(False)
+        if recorded:
+            self._log_suspects(recorded, source)
+            self.on_crash_recorded(False)
 
-    def _log_suspects(self, struck: list[str], source: str) -> None:
+    def _log_suspects(self, recorded: list[str], source: str) -> None:
         now = self._timers.now()
-        for name in struck:
-            if self._suspects.is_suspect(name, now):
+        for fingerprint in recorded:
+            if self._suspects.is_suspect(fingerprint, now):
                 self._log.write(
                     LogEvent.SUSPECT_STRUCK,
-                    fingerprint=name,
-                    crashes=len(self._suspects.crashes(name, now)),
-                    wait=round(self._suspects.wait(name, now), 1),
+                    fingerprint=fingerprint,
+                    crashes=len(self._suspects.crashes(fingerprint, now)),
+                    wait=round(
+                        self._suspects.remaining_quarantine(fingerprint, now), 1
+                    ),
                     source=source,
                 )
 
--- a/pimentolink/endedtargets.py
+++ b/pimentolink/endedtargets.py
@@ -1,4 +1,4 @@
-"""Remembers which lives of targets ended, across a restore of the store."""
+"""Remembers which incarnations of targets ended, across a restore of the store."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 from pimentolink.targetestimate import Target
 
-# Seconds for which an ended life is remembered; entries of targets that ended lapse
-# in the restored store within a few heartbeats.
-KEEP = 30.0
+# Seconds for which an ended incarnation is remembered; in a restored store, the entries
+# of targets that ended lapse after a few missed heartbeats.
+ENDED_TTL = 30.0
 
 
 class _Known(NamedTuple):
     """
-    What was last known of a life.
+    What was last known of an incarnation of a target.
 
-    :ivar epoch: of the store that told it.
-    :ivar ended_at: seconds of the timer service; ``None`` while it is leaving.
+    :ivar epoch: of the store from which it was read.
+    :ivar ended_at: in seconds of the timer service; ``None`` while it is leaving.
     """
 
     epoch: int
@@ -25,39 +25,41 @@
 
 class EndedTargets:
     """
-    Tells entries of a restored store that are older than what was known before.
+    Detects entries of a restored store that are older than what is already known.
 
-    Guards that a target whose leaving or end was acknowledged gets no work because an
-    older copy of the store still lists it.
+    A restored copy of the store may still list a target whose shutdown or end this
+    gateway has seen; such a target must get no work.
     """
 
     def __init__(self) -> None:
-        """Start with nothing known."""
-        self._known_by_life: dict[tuple[str, int], _Known] = {}
+        """Start without targets."""
+        self._known_by_incarnation: dict[tuple[str, int], _Known] = {}
 
     def leaving(self, target: Target, epoch: int) -> None:
-        """Learn that a target is leaving."""
-        self._known_by_life[(target.target_id, target.born)] = _Known(epoch, None)
+        """Record that a target announced its shutdown."""
+        self._known_by_incarnation[(target.target_id, target.born)] = _Known(
+            epoch, None
+        )
 
     def ended(self, target: Target, epoch: int, now: float) -> None:
-        """Learn that a target is no longer listed."""
-        self._known_by_life[(target.target_id, target.born)] = _Known(epoch, now)
+        """Record that a target is no longer listed."""
+        self._known_by_incarnation[(target.target_id, target.born)] = _Known(epoch, now)
         self._expire(now)
 
     def is_outdated(self, target: Target, epoch: int, now: float) -> bool:
         """
-        Tell whether an entry is from before what is known of its life.
+        Tell whether an entry is older than what is known of its incarnation.
 
-        :param epoch: of the store that tells the entry.
+        :param epoch: of the store that lists the entry.
         """
-        known = self._known_by_life.get((target.target_id, target.born))
+        known = self._known_by_incarnation.get((target.target_id, target.born))
         if known is None or epoch <= known.epoch:
             return False
         if known.ended_at is None:
             return not target.is_leaving
-        return now - known.ended_at < KEEP
+        return now - known.ended_at < ENDED_TTL
 
     def _expire(self, now: float) -> None:
-        for life, known in list(self._known_by_life.items()):
-            if known.ended_at is not None and now - known.ended_at >= KEEP:
-                del self._known_by_life[life]
+        for incarnation, known in list(self._known_by_incarnation.items()):
+            if known.ended_at is not None and now - known.ended_at >= ENDED_TTL:
+                del self._known_by_incarnation[incarnation]
--- a/pimentolink/quarantine.py
+++ b/pimentolink/quarantine.py
@@ -1,4 +1,4 @@
-"""Keeps requests that crash targets from them: its parts, put together."""
+"""Connects the components that quarantine requests that crash targets."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 class Quarantine:
     """
-    What one gateway knows of such requests, tells others and hears from them.
+    The components by which one gateway quarantines requests that crash targets.
 
-    :ivar reports: watches calls to targets.
-    :ivar store: reads and writes documents for gateways that start later.
+    :ivar reports: detects crashes, and exchanges reports of them with other gateways.
+    :ivar store: writes and reads the stored documents of suspects.
     """
 
     def __init__(
         self,
         settings: GatewaySettings,
-        life: str,
+        incarnation: str,
         keyspace: Keyspace,
         peers: PeerProtocol,
         timers: Timers,
@@ -34,29 +34,29 @@
         log: Log,
     ) -> None:
         """
-        Prepare.
+        Make the components and connect them.
 
         :param settings: of the gateway.
-        :param life: of its process.
+        :param incarnation: unique identifier of this process.
         :param keyspace: the store.
-        :param peers: carries messages to other gateways, and theirs here.
+        :param peers: sends messages to other gateways and receives theirs.
         :param timers: the timer service.
-        :param random: seeded source, which spreads tries and writes.
-        :param log: where events go.
+        :param random: seeded source for the jitter of quarantines and writes.
+        :param log: receives log events.
         """
-        pauses = settings.store
+        store_settings = settings.store
         suspects = Suspects(random)
         self.reports = CrashReports(suspects, peers, timers, log)
         self.store = SuspectStore(
-            f"{settings.instance}/{life}",
+            f"{settings.instance}/{incarnation}",
             keyspace,
             suspects,
             timers,
-            Backoff(pauses.backoff_first, pauses.backoff_most, random),
+            Backoff(store_settings.backoff_first, store_settings.backoff_most, random),
             random,
             log,
         )
-        self.store.on_news = self.reports.take
-        self.reports.on_struck = self.store.struck
+        self.store.on_message = self.reports.take
+        self.reports.on_crash_recorded = self.store.crash_recorded
         self.reports.on_cleared = self.store.cleared
         peers.on_suspects = self.reports.take
--- a/pimentolink/suspects.py
+++ b/pimentolink/suspects.py
@@ -1,4 +1,4 @@
-"""Tells which requests crash the targets that run them."""
+"""Finds the requests that crash the targets that run them, and quarantines them."""
 
 from __future__ import annotations
 
@@ -8,54 +8,63 @@
 from typing import Any, NamedTuple
 
 from pimentolink.errors import Quarantined
-from pimentolink.suspicion import FIRST_PAUSE, SUSPECT_FROM, Suspicion, pause_after
-
-# Share by which pauses differ between gateways, so that not all try it at one moment.
-PAUSE_SPREAD = 0.5
-# Seconds in which a try shows what comes of it; it takes a reading and a first event.
-TRY_TIME = 3.0
-# Seconds in which a target that broke a request off is found to have ended; its entry
-# lapses after a few of its heartbeats.
-BREAK_KEEP = 15.0
-# Seconds for which an answer proves that a request is harmless.
-SUCCESS_KEEP = 60.0
-# How many are kept of each, the newest: requests of which one crash is known, of which
-# more are, of which an answer is, crashes held against one no more, targets.
-MAX_STRUCK_ONCE = 4096
+from pimentolink.suspicion import (
+    MIN_SUSPECT_CRASHES,
+    SUSPECT_QUARANTINE,
+    CrashHistory,
+    quarantine_time,
+)
+
+# Jitter of quarantines as a share of their length, so that gateways do not all begin
+# a trial at the same moment.
+QUARANTINE_JITTER = 0.5
+# Seconds after which a trial counts as over without an outcome; long enough for a
+# prefill and the first event.
+TRIAL_TIME = 3.0
+# Seconds for which a broken exchange is kept until its target is found to have ended;
+# the target's entry lapses after it has missed a few heartbeats.
+BROKEN_EXCHANGE_TTL = 15.0
+# Seconds for which a complete response shows that a request is harmless.
+SUCCESS_TTL = 60.0
+# Capacity of each table, beyond which the oldest entries are evicted: requests with one
+# known crash, requests with more, requests answered lately, crashes cleared of a
+# request, targets.
+MAX_SINGLE_CRASH_REQUESTS = 4096
 MAX_SUSPECTS = 1024
 MAX_SUCCESSES = 4096
 MAX_CLEARED = 4096
 MAX_TARGETS = 1024
-# Requests that one target cut off, which are kept until it is known whether it ended.
-MAX_BROKEN = 1024
-# Own tries under way; they are made one at a time, so more are ones without an outcome.
-MAX_SENT_TRIES = 64
+# Broken exchanges kept per target until it is known whether the target ended.
+MAX_BROKEN_PER_TARGET = 1024
+# Trials of this gateway kept as sent. They run one at a time, so that any more of them
+# never had an outcome.
+MAX_SENT_TRIALS = 64
 
 
-class Unstored(NamedTuple):
+class UnstoredCrash(NamedTuple):
     """
-    A crash, with requests against which others cannot read that it is held.
+    A crash, with requests against which other gateways cannot read it in the store yet.
 
-    :ivar is_tried: whether each of them was the one that was tried there.
+    :ivar is_trial: whether the target crashed during a trial of each of them.
     """
 
     target: int
     fingerprints: list[str]
-    is_tried: bool
+    is_trial: bool
 
 
-class _Break(NamedTuple):
-    """A request's exchange that was cut off, and whether it was being tried."""
+class _BrokenExchange(NamedTuple):
+    """When an exchange with a target was cut off, and whether it was a trial."""
 
     at: float
-    is_tried: bool
+    is_trial: bool
 
 
-class _Try(NamedTuple):
+class _Trial(NamedTuple):
     """
-    The sending of a suspect, whose outcome tells whether it is to blame.
+    The sending of a suspect on its own, to find out whether it crashes its target.
 
-    :ivar request_id: under which it is sent; empty if another gateway sends it.
+    :ivar request_id: of the request that is sent; empty if another gateway sends it.
     """
 
     fingerprint: str
@@ -65,233 +74,265 @@
 
 class Suspects:
     """
-    Requests that were under way at targets that crashed.
-
-    Load pattern: a request that ends each target that begins to run it, and that is
-    asked again and again under new ids; with each target, tens of answers to others
-    break off. Which of them is to blame cannot be told from one crash, but the one to
-    blame is there each time: what was there twice is a suspect and waits. Then one
-    suspect is tried at a time: others that were there each time as well, since many ask
-    them, would be struck again by its crashes. An answer clears a suspect. One whose
-    try crashes its target is to blame and waits longer and longer; it explains its
-    crashes, which are then held against nobody else. A crash under two tries, begun by
-    gateways that had not heard of each other's, blames neither.
-
-    A request is known by its fingerprint, a target's life by its key.
+    Tracks which requests were in flight at targets that crashed.
+
+    Load pattern: a request crashes each target that begins to run it, and callers
+    repeat it under new ids; each crash also breaks off tens of responses to other
+    requests. One crash does not tell which request caused it, but the cause is in
+    flight at every crash. So a request that was in flight at two crashes is a suspect
+    and is quarantined. Then one suspect is tried at a time: other requests that many
+    callers repeat were in flight at each crash as well, and if they were tried together
+    with the cause, its next crash would count against them too.
+
+    A complete response clears a suspect. A suspect whose trial crashes its target is
+    blamed and quarantined for longer and longer; all its crashes are attributed to it
+    and no longer count against other requests. If a target crashes during two trials,
+    begun by gateways that had not yet heard of each other's, neither is blamed.
+
+    A request is identified by its fingerprint, an incarnation of a target by its key.
     """
 
     def __init__(self, random: Random) -> None:
         """
-        Start without suspicion.
+        Start without suspects.
 
-        :param random: seeded source, which spreads pauses.
+        :param random: seeded source for the jitter of quarantines.
         """
         self._random = random
-        self._once_by_fingerprint: OrderedDict[str, Suspicion] = OrderedDict()
-        self._again_by_fingerprint: OrderedDict[str, Suspicion] = OrderedDict()
+        self._single_crash_by_fingerprint: OrderedDict[str, CrashHistory] = (
+            OrderedDict()
+        )
+        self._suspect_by_fingerprint: OrderedDict[str, CrashHistory] = OrderedDict()
         self._answered_at: OrderedDict[str, float] = OrderedDict()
         self._cleared: OrderedDict[tuple[str, int], None] = OrderedDict()
-        self._broken_by_target: OrderedDict[int, OrderedDict[str, _Break]]
+        self._broken_by_target: OrderedDict[int, OrderedDict[str, _BrokenExchange]]
         self._broken_by_target = OrderedDict()
         self._ended_at_by_target: OrderedDict[int, float] = OrderedDict()
         self._blamed_by_target: OrderedDict[int, str] = OrderedDict()
-        self._tried_by_target: OrderedDict[int, str] = OrderedDict()
-        self._contested_targets: OrderedDict[int, None] = OrderedDict()
-        self._sent_tries: OrderedDict[str, None] = OrderedDict()
-        self._try: _Try | None = None
+        self._trial_by_target: OrderedDict[int, str] = OrderedDict()
+        self._ambiguous_crashes: OrderedDict[int, None] = OrderedDict()
+        self._sent_trials: OrderedDict[str, None] = OrderedDict()
+        self._trial: _Trial | None = None
 
-    def broke(self, fingerprint: str, request_id: str, target: int, now: float) -> bool:
+    def exchange_broken(
+        self, fingerprint: str, request_id: str, target: int, now: float
+    ) -> bool:
         """
-        Learn that a request's exchange with a target was cut off.
+        Record that a request's exchange with a target was cut off.
 
-        :param request_id: under which it came this time.
-        :returns: whether the target is known to have crashed, so that the request is
-            struck at once.
+        :param request_id: id of the request, new each time that a caller repeats it.
+        :returns: whether the target is known to have crashed and the crash counts
+            against the request from now on.
         """
-        is_tried = self._is_tried_by(request_id) or request_id in self._sent_tries
-        if is_tried:
-            self._sent_tries.pop(request_id, None)
-            self._end_try(fingerprint)
-            # Whether it crashed its target may come to light seconds later.
-            found = self._again_by_fingerprint.get(fingerprint)
-            if found is not None:
-                found.held_until = max(found.held_until, now + FIRST_PAUSE)
+        is_trial = self._is_tried_as(request_id) or request_id in self._sent_trials
+        if is_trial:
+            self._sent_trials.pop(request_id, None)
+            self._end_trial(fingerprint)
+            # It may take seconds until the target is known to have crashed.
+            history = self._suspect_by_fingerprint.get(fingerprint)
+            if history is not None:
+                history.quarantined_until = max(
+                    history.quarantined_until, now + SUSPECT_QUARANTINE
+                )
         ended_at = self._ended_at_by_target.get(target)
-        if ended_at is not None and now - ended_at <= BREAK_KEEP:
-            return bool(self.strike(target, [fingerprint], now, is_tried))
-        self._keep_break(fingerprint, target, _Break(now, is_tried))
+        if ended_at is not None and now - ended_at <= BROKEN_EXCHANGE_TTL:
+            return bool(self.record_crash(target, [fingerprint], now, is_trial))
+        self._add_broken(fingerprint, target, _BrokenExchange(now, is_trial))
         return False
 
-    def _keep_break(self, fingerprint: str, target: int, found: _Break) -> None:
-        """Keep a break, and forget those that are too old to show a crash."""
+    def _add_broken(
+        self, fingerprint: str, target: int, exchange: _BrokenExchange
+    ) -> None:
+        """Keep a broken exchange, and remove those too old to be caused by a crash."""
         broken = self._broken_by_target.setdefault(target, OrderedDict())
-        broken[fingerprint] = found
+        broken[fingerprint] = exchange
         broken.move_to_end(fingerprint)
-        _bound(broken, MAX_BROKEN)
-        while found.at - next(iter(broken.values())).at > BREAK_KEEP:
+        _evict_oldest(broken, MAX_BROKEN_PER_TARGET)
+        while exchange.at - next(iter(broken.values())).at > BROKEN_EXCHANGE_TTL:
             broken.popitem(last=False)
         self._broken_by_target.move_to_end(target)
-        _bound(self._broken_by_target, MAX_TARGETS)
+        _evict_oldest(self._broken_by_target, MAX_TARGETS)
 
-    def ended(self, target: int, now: float) -> list[str]:
+    def target_ended(self, target: int, now: float) -> list[str]:
         """
-        Learn that a target's life ended without having been announced.
+        Record that a target ended without having announced it.
 
-        :returns: the requests that it cut off, which are struck.
+        :returns: fingerprints of the requests that it cut off and against which the
+            crash counts.
         """
         self._ended_at_by_target[target] = now
-        _bound(self._ended_at_by_target, MAX_TARGETS)
+        _evict_oldest(self._ended_at_by_target, MAX_TARGETS)
         broken = self._broken_by_target.pop(target, OrderedDict())
-        for name, found in broken.items():
-            if now - found.at <= BREAK_KEEP:
-                self._strike(name, target, now, found.is_tried)
-        return [name for name in broken if target in self.crashes(name, now)]
+        for fingerprint, exchange in broken.items():
+            if now - exchange.at <= BROKEN_EXCHANGE_TTL:
+                self._record_crash(fingerprint, target, now, exchange.is_trial)
+        return [
+            fingerprint
+            for fingerprint in broken
+            if target in self.crashes(fingerprint, now)
+        ]
 
-    def strike(
+    def record_crash(
         self,
         target: int,
         fingerprints: Iterable[str],
         now: float,
-        is_tried: bool = False,
+        is_trial: bool = False,
     ) -> list[str]:
         """
-        Hold a crash against requests, whoever saw it.
+        Count a crash against requests, whichever gateway saw it.
 
-        One that was answered lately is not to blame: many callers ask it, and some were
-        under way at each target that crashed.
+        It does not count against a request that was answered lately: such a request is
+        harmless, and in flight at many targets because many callers repeat it.
 
-        :param is_tried: whether they were being tried there, which blames them.
-        :returns: those against which it was not held yet.
+        :param is_trial: whether the target crashed during their trial, which blames
+            them.
+        :returns: fingerprints of those against which it did not count before.
         """
         return [
             fingerprint
             for fingerprint in fingerprints
-            if self._strike(fingerprint, target, now, is_tried)
+            if self._record_crash(fingerprint, target, now, is_trial)
         ]
 
-    def _strike(
-        self, fingerprint: str, target: int, now: float, is_tried: bool
+    def _record_crash(
+        self, fingerprint: str, target: int, now: float, is_trial: bool
     ) -> bool:
-        if now - self._answered_at.get(fingerprint, -SUCCESS_KEEP) < SUCCESS_KEEP:
+        if now - self._answered_at.get(fingerprint, -SUCCESS_TTL) < SUCCESS_TTL:
             return False
         if (fingerprint, target) in self._cleared:
             return False
-        found = self._find(fingerprint, now) or Suspicion()
-        is_failed_try = is_tried and target not in found.failed_tries
-        if target in found.struck_at_by_target and not is_failed_try:
+        history = self._unexpired(fingerprint, now) or CrashHistory()
+        is_failed_trial = is_trial and target not in history.failed_trials
+        if target in history.recorded_at_by_target and not is_failed_trial:
             return False
-        found.struck_at_by_target[target] = now
-        found.stored.discard(target)
-        self._end_try(fingerprint)
-        self._keep(fingerprint, found)
-        if is_failed_try:
-            found.failed_tries.add(target)
-            self._judge(fingerprint, target, now)
-        elif self._is_explained(fingerprint, target):
+        history.recorded_at_by_target[target] = now
+        history.stored.discard(target)
+        self._end_trial(fingerprint)
+        self._put(fingerprint, history)
+        if is_failed_trial:
+            history.failed_trials.add(target)
+            self._attribute_crash(fingerprint, target, now)
+        elif self._is_attributed_to_other(fingerprint, target):
             return False
-        self._hold(found, now)
+        self._quarantine(history, now)
         return True
 
-    def _judge(self, fingerprint: str, target: int, now: float) -> None:
-        """Blame a request for the crash under its try, unless another was tried too."""
-        first = self._tried_by_target.setdefault(target, fingerprint)
-        _bound(self._tried_by_target, MAX_TARGETS)
+    def _attribute_crash(self, fingerprint: str, target: int, now: float) -> None:
+        """Blame a request for a crash during its trial, if no other was tried then."""
+        first = self._trial_by_target.setdefault(target, fingerprint)
+        _evict_oldest(self._trial_by_target, MAX_TARGETS)
         if first != fingerprint:
-            self._contested_targets[target] = None
-            _bound(self._contested_targets, MAX_TARGETS)
-            self._acquit(first, now)
+            self._ambiguous_crashes[target] = None
+            _evict_oldest(self._ambiguous_crashes, MAX_TARGETS)
+            self._withdraw_blame(first, now)
         self._blame(fingerprint)
 
-    def _acquit(self, fingerprint: str, now: float) -> None:
-        """Blame a request no more if a contested crash was all that spoke for it."""
-        found = self._find(fingerprint, now)
-        if found is None or self._failed_tries(found):
+    def _withdraw_blame(self, fingerprint: str, now: float) -> None:
+        """Stop blaming a request all of whose failed trials are ambiguous."""
+        history = self._unexpired(fingerprint, now)
+        if history is None or self._count_failed_trials(history):
             return
-        explained = [
-            key for key, name in self._blamed_by_target.items() if name == fingerprint
+        attributed = [
+            target
+            for target, blamed in self._blamed_by_target.items()
+            if blamed == fingerprint
         ]
-        for key in explained:
-            del self._blamed_by_target[key]
-        self._hold(found, now)
+        for target in attributed:
+            del self._blamed_by_target[target]
+        self._quarantine(history, now)
 
     def _blame(self, fingerprint: str) -> None:
-        """Let a request whose own try failed explain its crashes."""
-        found = self._kept(fingerprint)
-        if found is not None and self._failed_tries(found):
-            for target in found.struck_at_by_target:
+        """Attribute all crashes of a request to it if a trial of it failed."""
+        history = self._get(fingerprint)
+        if history is not None and self._count_failed_trials(history):
+            for target in history.recorded_at_by_target:
                 self._blamed_by_target[target] = fingerprint
-            _bound(self._blamed_by_target, MAX_TARGETS)
+            _evict_oldest(self._blamed_by_target, MAX_TARGETS)
 
-    def _failed_tries(self, found: Suspicion) -> int:
-        """Count the crashes under a request's own tries that no other explains."""
-        return len(found.failed_tries - self._contested_targets.keys())
+    def _count_failed_trials(self, history: CrashHistory) -> int:
+        """Count the failed trials of a request during which no other was tried."""
+        return len(history.failed_trials - self._ambiguous_crashes.keys())
 
-    def _is_explained(self, fingerprint: str, target: int) -> bool:
-        """Tell whether another request is to blame for a crash."""
+    def _is_attributed_to_other(self, fingerprint: str, target: int) -> bool:
+        """Tell whether another request is blamed for a crash."""
         return self._blamed_by_target.get(target, fingerprint) != fingerprint
 
-    def _drop(self, fingerprint: str, found: Suspicion, targets: Iterable[int]) -> bool:
-        """Hold crashes against a request no more; tell whether any was."""
-        dropped = found.struck_at_by_target.keys() & set(targets)
-        for target in dropped:
-            found.drop(target)
-        if not found.struck_at_by_target:
-            self._forget(fingerprint)
-        return bool(dropped)
-
-    def _find(self, fingerprint: str, now: float) -> Suspicion | None:
-        found = self._kept(fingerprint)
-        if found is not None:
-            found.forget(now)
-        return found
-
-    def _kept(self, fingerprint: str) -> Suspicion | None:
-        found = self._again_by_fingerprint.get(fingerprint)
-        return found or self._once_by_fingerprint.get(fingerprint)
-
-    def _keep(self, fingerprint: str, found: Suspicion) -> None:
-        """Keep suspects apart from the many that one crash befell."""
-        self._forget(fingerprint)
-        if len(found.struck_at_by_target) < SUSPECT_FROM:
-            self._once_by_fingerprint[fingerprint] = found
-            _bound(self._once_by_fingerprint, MAX_STRUCK_ONCE)
-        else:
-            self._again_by_fingerprint[fingerprint] = found
-            _bound(self._again_by_fingerprint, MAX_SUSPECTS)
-
-    def _forget(self, fingerprint: str) -> None:
-        self._once_by_fingerprint.pop(fingerprint, None)
-        self._again_by_fingerprint.pop(fingerprint, None)
+    def _remove_crashes(
+        self, fingerprint: str, history: CrashHistory, targets: Iterable[int]
+    ) -> bool:
+        """Stop counting crashes against a request; tell whether any did count."""
+        removed = history.recorded_at_by_target.keys() & set(targets)
+        for target in removed:
+            history.remove(target)
+        if not history.recorded_at_by_target:
+            self._remove(fingerprint)
+        return bool(removed)
+
+    def _unexpired(self, fingerprint: str, now: float) -> CrashHistory | None:
+        history = self._get(fingerprint)
+        if history is not None:
+            history.expire(now)
+        return history
+
+    def _get(self, fingerprint: str) -> CrashHistory | None:
+        history = self._suspect_by_fingerprint.get(fingerprint)
+        return history or self._single_crash_by_fingerprint.get(fingerprint)
+
+    def _put(self, fingerprint: str, history: CrashHistory) -> None:
+        """
+        Keep a request's history as the newest.
 
-    def _hold(self, found: Suspicion, now: float) -> None:
-        crashes = len(found.struck_at_by_target)
-        wait = pause_after(crashes, self._failed_tries(found))
-        found.held_until = now + wait * self._random.uniform(1.0, 1.0 + PAUSE_SPREAD)
+        Suspects have a table of their own, so that the many requests that were in
+        flight at a single crash do not evict them.
+        """
+        self._remove(fingerprint)
+        if len(history.recorded_at_by_target) < MIN_SUSPECT_CRASHES:
+            self._single_crash_by_fingerprint[fingerprint] = history
+            _evict_oldest(self._single_crash_by_fingerprint, MAX_SINGLE_CRASH_REQUESTS)
+        else:
+            self._suspect_by_fingerprint[fingerprint] = history
+            _evict_oldest(self._suspect_by_fingerprint, MAX_SUSPECTS)
+
+    def _remove(self, fingerprint: str) -> None:
+        self._single_crash_by_fingerprint.pop(fingerprint, None)
+        self._suspect_by_fingerprint.pop(fingerprint, None)
+
+    def _quarantine(self, history: CrashHistory, now: float) -> None:
+        crashes = len(history.recorded_at_by_target)
+        wait = quarantine_time(crashes, self._count_failed_trials(history))
+        history.quarantined_until = now + wait * self._random.uniform(
+            1.0, 1.0 + QUARANTINE_JITTER
+        )
 
-    def _end_try(self, fingerprint: str) -> None:
-        if self._try is not None and self._try.fingerprint == fingerprint:
-            self._try = None
+    def _end_trial(self, fingerprint: str) -> None:
+        if self._trial is not None and self._trial.fingerprint == fingerprint:
+            self._trial = None
 
     def crashes(self, fingerprint: str, now: float) -> list[int]:
-        """List the targets whose crash is held against a request."""
-        found = self._find(fingerprint, now)
-        return self._held(fingerprint, found) if found is not None else []
+        """List the targets whose crash counts against a request."""
+        history = self._unexpired(fingerprint, now)
+        return self._counted(fingerprint, history) if history is not None else []
 
-    def _held(self, fingerprint: str, found: Suspicion) -> list[int]:
+    def _counted(self, fingerprint: str, history: CrashHistory) -> list[int]:
         return [
             target
-            for target in found.struck_at_by_target
-            if not self._is_explained(fingerprint, target)
+            for target in history.recorded_at_by_target
+            if not self._is_attributed_to_other(fingerprint, target)
         ]
 
     def is_suspect(self, fingerprint: str, now: float) -> bool:
-        """Tell whether a request waits before it is sent again."""
-        return len(self.crashes(fingerprint, now)) >= SUSPECT_FROM
+        """Tell whether enough crashes count against a request to quarantine it."""
+        return len(self.crashes(fingerprint, now)) >= MIN_SUSPECT_CRASHES
+
+    def remaining_quarantine(self, fingerprint: str, now: float) -> float:
+        """
+        Compute how long a request is still quarantined.
 
-    def wait(self, fingerprint: str, now: float) -> float:
-        """Tell how many seconds a request waits before it may be sent."""
-        found = self._again_by_fingerprint.get(fingerprint)
-        return max(0.0, found.held_until - now) if found is not None else 0.0
+        :returns: seconds.
+        """
+        history = self._suspect_by_fingerprint.get(fingerprint)
+        return max(0.0, history.quarantined_until - now) if history is not None else 0.0
 
     def refusal(
         self, fingerprint: str, request_id: str, now: float
@@ -299,131 +340,134 @@
         """
         Tell why a request may not be sent now.
 
-        :param request_id: under which it came this time.
-        :returns: ``None`` if it may be.
+        :param request_id: id of the request, new each time that a caller repeats it.
+        :returns: ``None`` if it may be sent.
         """
         crashes = len(self.crashes(fingerprint, now))
-        if crashes < SUSPECT_FROM or self._is_tried_by(request_id):
+        if crashes < MIN_SUSPECT_CRASHES or self._is_tried_as(request_id):
             return None
-        wait = self.wait(fingerprint, now)
-        if self._try is not None:
-            wait = max(wait, self._try.ends_at - now)
+        wait = self.remaining_quarantine(fingerprint, now)
+        if self._trial is not None:
+            wait = max(wait, self._trial.ends_at - now)
         if wait <= 0:
             return None
-        return Quarantined(
-            f"{crashes} targets crashed while it was under way there", wait
-        )
+        return Quarantined(f"{crashes} targets crashed while it was in flight", wait)
 
-    def _is_tried_by(self, request_id: str) -> bool:
-        return self._try is not None and self._try.request_id == request_id
+    def _is_tried_as(self, request_id: str) -> bool:
+        return self._trial is not None and self._trial.request_id == request_id
 
-    def try_again(self, fingerprint: str, request_id: str, now: float) -> bool:
+    def begin_trial(self, fingerprint: str, request_id: str, now: float) -> bool:
         """
-        Begin to send a request that may be sent.
+        Begin a trial if a request, which may be sent, is a suspect.
 
-        :returns: whether it is a suspect, so that no other should be tried meanwhile.
+        :returns: whether a trial began, during which no other suspect should be sent.
         """
-        if not self.is_suspect(fingerprint, now) or self._is_tried_by(request_id):
+        if not self.is_suspect(fingerprint, now) or self._is_tried_as(request_id):
             return False
-        self._try = _Try(fingerprint, request_id, now + TRY_TIME)
+        self._trial = _Trial(fingerprint, request_id, now + TRIAL_TIME)
         return True
 
-    def try_sent(self, request_id: str) -> None:
-        """Learn that an own try is on its way, which another's news do not undo."""
-        self._sent_tries[request_id] = None
-        _bound(self._sent_tries, MAX_SENT_TRIES)
+    def trial_sent(self, request_id: str) -> None:
+        """Record that an own trial was sent, so that no other can supersede it."""
+        self._sent_trials[request_id] = None
+        _evict_oldest(self._sent_trials, MAX_SENT_TRIALS)
 
-    def tried(self, fingerprint: str, now: float) -> None:
+    def peer_trial_begun(self, fingerprint: str, now: float) -> None:
         """
-        Learn that another gateway tries a suspect.
+        Record that another gateway began a trial of a suspect.
 
-        Of tries that begin at the same moment the one of the least fingerprint goes on,
-        at all gateways alike; with two at once a crash would not tell who is to blame.
+        Of trials that begin at the same moment, each gateway keeps the one with the
+        least fingerprint. With two at once, a crash would not tell which is to blame.
         """
-        current = self._try
+        current = self._trial
         is_under_way = current is not None and now < current.ends_at
         if current is None or not is_under_way or fingerprint < current.fingerprint:
-            self._try = _Try(fingerprint, "", now + TRY_TIME)
+            self._trial = _Trial(fingerprint, "", now + TRIAL_TIME)
 
     def answered(self, fingerprint: str, now: float) -> list[int]:
         """
-        Learn that a request got its whole answer.
+        Record that a request got its complete response, which clears it.
 
-        :returns: the crashes that were held against it and are no more.
+        :returns: the targets whose crash counted against it until now.
         """
         self._answered_at[fingerprint] = now
         self._answered_at.move_to_end(fingerprint)
-        _bound(self._answered_at, MAX_SUCCESSES)
+        _evict_oldest(self._answered_at, MAX_SUCCESSES)
         crashes = self.crashes(fingerprint, now)
         self.clear(fingerprint, crashes, now)
         return crashes
 
     def clear(self, fingerprint: str, targets: Iterable[int], now: float) -> bool:
         """
-        Hold certain crashes against a request no more, also if they are told later.
+        Stop counting certain crashes against a request, also if they are reported late.
 
-        :returns: whether any was held against it.
+        :returns: whether any of them counted against it.
         """
-        self._end_try(fingerprint)
-        explained = {
+        self._end_trial(fingerprint)
+        attributed = {
             target
             for target in targets
             if self._blamed_by_target.get(target) == fingerprint
         }
-        if explained:
-            self._drop_others(fingerprint, explained)
+        if attributed:
+            self._remove_from_others(fingerprint, attributed)
         for target in targets:
             self._cleared[fingerprint, target] = None
-        _bound(self._cleared, MAX_CLEARED)
-        found = self._find(fingerprint, now)
-        return found is not None and self._drop(fingerprint, found, targets)
-
-    def _drop_others(self, fingerprint: str, targets: set[int]) -> None:
-        """Hold crashes that a request explained against no other from now on."""
-        for kept in (self._once_by_fingerprint, self._again_by_fingerprint):
-            for other, found in [*kept.items()]:
-                if other != fingerprint and not found.failed_tries:
-                    self._drop(other, found, targets)
+        _evict_oldest(self._cleared, MAX_CLEARED)
+        history = self._unexpired(fingerprint, now)
+        return history is not None and self._remove_crashes(
+            fingerprint, history, targets
+        )
+
+    def _remove_from_others(self, fingerprint: str, targets: set[int]) -> None:
+        """Remove crashes attributed to a request from the histories of all others."""
+        for histories in (
+            self._single_crash_by_fingerprint,
+            self._suspect_by_fingerprint,
+        ):
+            for other, history in [*histories.items()]:
+                if other != fingerprint and not history.failed_trials:
+                    self._remove_crashes(other, history, targets)
         for target in targets:
             del self._blamed_by_target[target]
 
-    def stored(self, fingerprint: str, target: int, is_tried: bool) -> None:
-        """Learn that others can read in the store of a crash held against a request."""
-        found = self._kept(fingerprint)
-        if found is not None and is_tried == (target in found.failed_tries):
-            found.stored.add(target)
+    def mark_stored(self, fingerprint: str, target: int, is_trial: bool) -> None:
+        """Record that other gateways can read a request's crash in the store."""
+        history = self._get(fingerprint)
+        if history is not None and is_trial == (target in history.failed_trials):
+            history.stored.add(target)
 
     def is_blamed(self, fingerprint: str, target: int) -> bool:
-        """Tell whether a target crashed as a request was tried there."""
-        found = self._kept(fingerprint)
-        return found is not None and target in found.failed_tries
+        """Tell whether a target crashed during a trial of a request there."""
+        history = self._get(fingerprint)
+        return history is not None and target in history.failed_trials
 
-    def unstored(self, least: int, now: float) -> list[Unstored]:
+    def unstored(self, min_crashes: int, now: float) -> list[UnstoredCrash]:
         """
-        List what others cannot read in the store yet.
+        List the crashes that other gateways cannot read in the store yet.
 
-        :param least: crashes of a request from which on it is listed.
+        :param min_crashes: crashes of a request from which on they are listed.
         """
-        kept = [self._again_by_fingerprint]
-        if least < SUSPECT_FROM:
-            kept.append(self._once_by_fingerprint)
+        tables = [self._suspect_by_fingerprint]
+        if min_crashes < MIN_SUSPECT_CRASHES:
+            tables.append(self._single_crash_by_fingerprint)
         listed: dict[tuple[int, bool], list[str]] = {}
-        for suspicions in kept:
-            for fingerprint, found in suspicions.items():
-                found.forget(now)
-                held = self._held(fingerprint, found)
-                if len(held) < least:
+        for histories in tables:
+            for fingerprint, history in histories.items():
+                history.expire(now)
+                counted = self._counted(fingerprint, history)
+                if len(counted) < min_crashes:
                     continue
-                for target in set(held) - found.stored:
-                    crash = (target, target in found.failed_tries)
+                for target in set(counted) - history.stored:
+                    crash = (target, target in history.failed_trials)
                     listed.setdefault(crash, []).append(fingerprint)
         return [
-            Unstored(target, names, is_tried)
-            for (target, is_tried), names in listed.items()
+            UnstoredCrash(target, fingerprints, is_trial)
+            for (target, is_trial), fingerprints in listed.items()
         ]
 
 
-def _bound(kept: OrderedDict[Any, Any], most: int) -> None:
-    """Drop the oldest of what is kept beyond a bound."""
-    while len(kept) > most:
-        kept.popitem(last=False)
+def _evict_oldest(table: OrderedDict[Any, Any], capacity: int) -> None:
+    """Remove the oldest entries of a table beyond its capacity."""
+    while len(table) > capacity:
+        table.popitem(last=False)
--- a/pimentolink/suspectstore.py
+++ b/pimentolink/suspectstore.py
@@ -1,4 +1,4 @@
-"""Keeps what is held against requests in the store, for gateways that start later."""
+"""Stores the crashes of suspects, so that gateways that start later know them."""
 
 from __future__ import annotations
 
@@ -22,58 +22,59 @@
 )
 from pimentolink.retry import Backoff
 from pimentolink.suspects import Suspects
-from pimentolink.suspicion import KEEP, SUSPECT_FROM
+from pimentolink.suspicion import KEEP, MIN_SUSPECT_CRASHES
 from pimentolink.timers import Timer, Timers, in_background, pause
 
 SUSPECT_PREFIX = "pimentolink/suspects/"
-# Seconds in which further crashes join the same write.
-GATHER = 0.1
-# Seconds after which a gateway that only heard of a crash writes it, if none of those
-# that saw it has; and by how much more that differs, so that not all write it.
-HEARD_WAIT = 1.0
-HEARD_SPREAD = 1.0
-# Messages of one document, the newest; keeps it well below what a key may hold.
-MAX_NEWS = 256
+# Seconds for which a write is delayed, so that further crashes join it.
+BATCH_DELAY = 0.1
+# Seconds after which a gateway that knows of a crash only from others writes it, unless
+# one that saw the crash has; and the jitter added, so that not all gateways write it.
+RELAYED_WRITE_DELAY = 1.0
+RELAYED_WRITE_JITTER = 1.0
+# Capacity of one document, of which the oldest messages are left out; keeps it well
+# below the size limit of a value.
+MAX_DOCUMENT_MESSAGES = 256
 
 
 class SuspectDocument(msgspec.Struct):
-    """What one gateway tells all others, also those that start later."""
+    """What one gateway reports to all others, including those that start later."""
 
     news: list[TargetCrashed | SuspectCleared]
 
 
 def clearing_key(fingerprint: str) -> str:
-    """Name the document by which an operator clears a request."""
+    """Build the key of the document by which an operator clears a request."""
     return f"{SUSPECT_PREFIX}operators/{fingerprint}"
 
 
 class StoredSuspects:
-    """What all documents together hold against requests."""
+    """The crashes of suspects, merged from the documents of all gateways."""
 
     def __init__(self) -> None:
-        """Start with nothing read."""
+        """Start without documents."""
         self._crashes: set[tuple[str, int]] = set()
         self._cleared: set[tuple[str, int]] = set()
 
     def take(self, document: SuspectDocument) -> None:
-        """Add what one document tells."""
+        """Merge the messages of one document."""
         for message in document.news:
             if isinstance(message, SuspectCleared):
-                pairs = {(message.fingerprint, key) for key in message.targets}
-                self._cleared |= pairs
+                crashes = {(message.fingerprint, key) for key in message.targets}
+                self._cleared |= crashes
             else:
-                pairs = {(name, message.target) for name in message.fingerprints}
-                self._crashes |= pairs
+                crashes = {(name, message.target) for name in message.fingerprints}
+                self._crashes |= crashes
 
     def crashes_by_fingerprint(self) -> dict[str, list[int]]:
-        """List the targets at whose crash each request was under way."""
+        """List the targets at whose crash each request was in flight."""
         listed: dict[str, list[int]] = {}
         for fingerprint, target in sorted(self._crashes - self._cleared):
             listed.setdefault(fingerprint, []).append(target)
         return listed
 
 
-class _Told(NamedTuple):
+class _TimedMessage(NamedTuple):
     """A message of this gateway's document, and when it was first written."""
 
     at: float
@@ -82,12 +83,13 @@
 
 class SuspectStore:
     """
-    Writes and reads documents of suspects.
+    Writes this gateway's document of suspects, and reads those of the others.
 
-    Each gateway writes its own, so none overwrites another's; what is known is all of
-    them together. A request is only written once it is a suspect, so that the crash of
-    a target that takes tens of requests with it costs no call. Between cells nothing
-    else carries the first crash, so it is written there too.
+    Each gateway writes a document of its own, so that none overwrites another's; the
+    known crashes are those of all documents together. A request is only written once it
+    is a suspect, so that a crash with tens of requests in flight costs no call to the
+    store. With several cells, requests with a single crash are written too, since
+    messages between gateways do not carry it from cell to cell.
     """
 
     def __init__(
@@ -101,15 +103,15 @@
         log: Log,
     ) -> None:
         """
-        Prepare.
+        Prepare without writing anything.
 
-        :param owner: names this process among all lives of all gateways.
+        :param owner: unique name of this process among all incarnations of gateways.
         :param keyspace: the store.
-        :param suspects: what is known.
+        :param suspects: the crashes that this gateway knows.
         :param timers: the timer service.
-        :param backoff: pauses after calls without an answer.
-        :param random: seeded source, which spreads writes.
-        :param log: where events go.
+        :param backoff: delays after failed calls to the store.
+        :param random: seeded source for the jitter of writes.
+        :param log: receives log events.
         """
         self._key = SUSPECT_PREFIX + owner
         self._keyspace = keyspace
@@ -119,64 +121,64 @@
         self._random = random
         self._log = log
         self._revision = 0
-        self._written: list[_Told] = []
-        # What this gateway cleared and has not written; the oldest goes if the store is
-        # away for long.
-        self._unwritten: deque[SuspectCleared] = deque(maxlen=MAX_NEWS)
-        self._is_lost = False
+        self._written: list[_TimedMessage] = []
+        # Clearings by this gateway that are not in the store yet. The oldest is dropped
+        # if the store is unavailable for long.
+        self._unwritten: deque[SuspectCleared] = deque(maxlen=MAX_DOCUMENT_MESSAGES)
+        self._needs_rewrite = False
         self._timer: Timer | None = None
         self._due_at = 0.0
         self._writing: Deferred[None] | None = None
         self.is_divided: Callable[[], bool] = lambda: False
-        self.on_news: Callable[[SuspectMessage, str], None] = lambda message, source: (
-            None
+        self.on_message: Callable[[SuspectMessage, str], None] = (
+            lambda message, source: None
         )
 
     def stop(self) -> None:
-        """Write nothing more."""
+        """Cancel a scheduled write and one in progress."""
         if self._timer is not None:
             self._timer.cancel()
         if self._writing is not None:
             self._writing.cancel()
 
     def restored(self) -> None:
-        """Write again what the store lost as it was restored."""
-        self._is_lost = bool(self._written)
-        if self._is_lost:
-            self._write_in(GATHER)
+        """Write this gateway's document again after the store was restored."""
+        self._needs_rewrite = bool(self._written)
+        if self._needs_rewrite:
+            self._write_in(BATCH_DELAY)
 
-    def struck(self, is_own: bool) -> None:
+    def crash_recorded(self, is_own: bool) -> None:
         """
-        Learn that a crash is held against requests.
+        Schedule a write after a crash was counted against requests.
 
-        :param is_own: whether this gateway saw it.
+        :param is_own: whether this gateway saw the crash itself.
         """
-        wait = GATHER
+        wait = BATCH_DELAY
         if not is_own:
-            wait = HEARD_WAIT + self._random.uniform(0.0, HEARD_SPREAD)
+            wait = RELAYED_WRITE_DELAY + self._random.uniform(0.0, RELAYED_WRITE_JITTER)
         self._write_in(wait)
 
     def cleared(self, cleared: SuspectCleared) -> None:
-        """Learn that this gateway cleared a request."""
+        """Schedule a write after this gateway cleared a request."""
         self._unwritten.append(cleared)
-        self._write_in(GATHER)
+        self._write_in(BATCH_DELAY)
 
     def key_changed(self, change: Change) -> None:
-        """Read a document that a gateway or an operator wrote."""
+        """Apply a document that a gateway or an operator wrote."""
         if change.value is None:
-            # Its lease ran out; what it told has lapsed here as well.
+            # Its lease expired, and its crashes have expired here as well.
             return
         found = read_entry(change.key, change.value, SuspectDocument, self._log)
         if found is None:
             return
         for message in found.news:
-            self.on_news(message, "store")
+            self.on_message(message, "store")
             if isinstance(message, TargetCrashed):
                 self._mark_stored(message)
 
     def _write_in(self, seconds: float) -> None:
         if self._writing is not None:
-            # Looks for what is new once it is done.
+            # The write in progress looks for new messages before it ends.
             return
         due_at = self._timers.now() + seconds
         if self._timer is not None:
@@ -184,55 +186,55 @@
                 return
             self._timer.cancel()
         self._due_at = due_at
-        self._timer = self._timers.call_later(seconds, self._begin)
+        self._timer = self._timers.call_later(seconds, self._start_writing)
 
-    def _begin(self) -> None:
+    def _start_writing(self) -> None:
         self._timer = None
         self._writing = in_background(self._write())
-        self._writing.addCallback(self._ended)
+        self._writing.addCallback(self._writing_done)
 
-    def _ended(self, _: object) -> None:
+    def _writing_done(self, _: object) -> None:
         self._writing = None
 
     async def _write(self) -> None:
-        while (fresh := self._fresh()) or self._is_lost:
+        while (pending := self._pending_messages()) or self._needs_rewrite:
             try:
-                await self._try_to_write(fresh)
+                await self._write_document(pending)
             except (KeyValueUnavailable, LeaseLost) as failure:
                 self._log.write(LogEvent.SUSPECTS_UNSTORED, detail=str(failure))
                 await pause(self._timers, self._backoff.next())
 
-    def _fresh(self) -> list[_Told]:
-        """List what is to be written and not in the store yet."""
+    def _pending_messages(self) -> list[_TimedMessage]:
+        """List the messages that are not in the store yet."""
         now = self._timers.now()
-        least = 1 if self.is_divided() else SUSPECT_FROM
+        min_crashes = 1 if self.is_divided() else MIN_SUSPECT_CRASHES
         crashes: list[TargetCrashed | SuspectCleared] = [
             message
-            for crash in self._suspects.unstored(least, now)
+            for crash in self._suspects.unstored(min_crashes, now)
             for message in crash_messages(*crash)
         ]
-        return [_Told(now, message) for message in (*self._unwritten, *crashes)]
+        return [_TimedMessage(now, message) for message in (*self._unwritten, *crashes)]
 
-    async def _try_to_write(self, fresh: list[_Told]) -> None:
+    async def _write_document(self, pending: list[_TimedMessage]) -> None:
         begin = self._timers.now() - KEEP
-        before = [told for told in self._written if told.at >= begin]
-        told = [*before, *fresh][-MAX_NEWS:]
+        before = [kept for kept in self._written if kept.at >= begin]
+        kept = [*before, *pending][-MAX_DOCUMENT_MESSAGES:]
         lease = await self._keyspace.grant(KEEP)
-        document = SuspectDocument([item.message for item in told])
+        document = SuspectDocument([item.message for item in kept])
         write = Write(self._key, msgspec.json.encode(document), self._revision, lease)
         revision = await self._keyspace.write(write)
         if revision is None:
-            # An earlier write took effect though its answer was lost.
+            # An earlier write took effect although its reply was lost.
             found = await self._keyspace.read(self._key)
             self._revision = found.revision if found is not None else 0
             return
         self._backoff.reset()
-        self._is_lost = False
+        self._needs_rewrite = False
         self._revision = revision
-        self._written = told
-        for item in fresh:
+        self._written = kept
+        for item in pending:
             self._mark_written(item.message)
-        self._log.write(LogEvent.SUSPECTS_STORED, news=len(told), revision=revision)
+        self._log.write(LogEvent.SUSPECTS_STORED, news=len(kept), revision=revision)
 
     def _mark_written(self, message: TargetCrashed | SuspectCleared) -> None:
         if isinstance(message, TargetCrashed):
@@ -242,4 +244,4 @@
 
     def _mark_stored(self, crash: TargetCrashed) -> None:
         for fingerprint in crash.fingerprints:
-            self._suspects.stored(fingerprint, crash.target, crash.is_tried)
+            self._suspects.mark_stored(fingerprint, crash.target, crash.is_tried)
--- a/pimentolink/suspicion.py
+++ b/pimentolink/suspicion.py
@@ -1,57 +1,59 @@
-"""What is held against one request that was under way at crashes of targets."""
+"""Crashes of targets that count against one request, and its quarantine."""
 
 from __future__ import annotations
 
-# Seconds for which a crash is held against the requests that were under way; as long
-# as the store's longest lease.
+# Seconds for which a crash counts against the requests that were in flight; as long
+# as the longest lease of the key-value store.
 KEEP = 600.0
-# Crashes from which on a request waits before it is sent again. One proves nothing: it
-# befalls all that were under way.
-SUSPECT_FROM = 2
-# Seconds that it waits then: targets that crashed are back, so that the next crash does
-# not take the last one.
-FIRST_PAUSE = 4.0
-# Seconds that it waits once its own try has crashed a target; doubled with each more.
-LONG_PAUSE = 60.0
-
-
-def pause_after(crashes: int, failed_tries: int) -> float:
+# Crashes from which on a request is a suspect and quarantined. A single crash proves
+# nothing, since it affects every request in flight at the target.
+MIN_SUSPECT_CRASHES = 2
+# Seconds for which a suspect is quarantined. Targets that crashed are back by then, so
+# that another crash does not take the last one down.
+SUSPECT_QUARANTINE = 4.0
+# Seconds of quarantine once a trial of the request itself has crashed a target; doubled
+# with each further one.
+FAILED_TRIAL_QUARANTINE = 60.0
+
+
+def quarantine_time(crashes: int, failed_trials: int) -> float:
     """
-    Tell how long a request waits after it was under way at crashes of targets.
+    Compute how long a request is quarantined after crashes of targets.
 
-    :param failed_tries: those at which it was the one that was tried.
+    :param crashes: crashes at which it was in flight.
+    :param failed_trials: those of them that happened during a trial of it.
     :returns: seconds.
     """
-    if failed_tries:
-        return float(LONG_PAUSE * 2 ** (failed_tries - 1))
-    return FIRST_PAUSE if crashes >= SUSPECT_FROM else 0.0
+    if failed_trials:
+        return float(FAILED_TRIAL_QUARANTINE * 2 ** (failed_trials - 1))
+    return SUSPECT_QUARANTINE if crashes >= MIN_SUSPECT_CRASHES else 0.0
 
 
-class Suspicion:
+class CrashHistory:
     """
-    What is held against one request.
+    The crashes that count against one request.
 
-    :ivar struck_at_by_target: when each crash was learned of.
-    :ivar failed_tries: those of these crashes that its own try brought about.
-    :ivar stored: those that others can read of in the store.
-    :ivar held_until: when it may be sent again.
+    :ivar recorded_at_by_target: when this gateway learned of each crash.
+    :ivar failed_trials: targets that crashed during a trial of this request.
+    :ivar stored: targets whose crash other gateways can read from the store.
+    :ivar quarantined_until: when the request may be sent again.
     """
 
     def __init__(self) -> None:
-        """Start with nothing."""
-        self.struck_at_by_target: dict[int, float] = {}
-        self.failed_tries: set[int] = set()
+        """Start without crashes."""
+        self.recorded_at_by_target: dict[int, float] = {}
+        self.failed_trials: set[int] = set()
         self.stored: set[int] = set()
-        self.held_until = 0.0
+        self.quarantined_until = 0.0
 
-    def forget(self, now: float) -> None:
-        """Hold crashes of long ago against it no more."""
+    def expire(self, now: float) -> None:
+        """Remove crashes older than their time to live."""
         begin = now - KEEP
-        old = [key for key, at in self.struck_at_by_target.items() if at < begin]
+        old = [key for key, at in self.recorded_at_by_target.items() if at < begin]
         for key in old:
-            self.drop(key)
+            self.remove(key)
 
-    def drop(self, target: int) -> None:
-        """Hold a crash against it no more."""
-        del self.struck_at_by_target[target]
-        self.failed_tries.discard(target)
+    def remove(self, target: int) -> None:
+        """Remove the crash of a target."""
+        del self.recorded_at_by_target[target]
+        self.failed_trials.discard(target)
--- a/tests/test_crossedtries.py
+++ b/tests/test_crossedtries.py
@@ -1,4 +1,4 @@
-"""Every order of events around two tries that begin at the same moment."""
+"""Every order of events around two trials that begin at the same moment."""
 
 import pickle
 from random import Random
@@ -10,26 +10,26 @@
 from pimentolink.crashreports import CrashReports
 from pimentolink.peermessages import SuspectTried
 from pimentolink.suspects import Suspects
-from pimentolink.suspicion import FIRST_PAUSE, LONG_PAUSE
+from pimentolink.suspicion import FAILED_TRIAL_QUARANTINE, SUSPECT_QUARANTINE
 from pimentolink.timers import ManualTimers
 from specs.protocol import make_protocol
 from tests.gatewayparts import fleet, target
-from tests.test_crashreports import asked
+from tests.test_crashreports import make_request
 from tools.replay import QuietLog
 
 FATAL = "8" * 32
-# Innocent requests, the first of which goes on when its try crosses that of the fatal
-# one, and the second does not.
+# Innocent requests. When both gateways begin a trial at once, that of the first is kept
+# and the fatal one ends; that of the second ends and the fatal one is kept.
 LESSER, GREATER = "0" * 32, "f" * 32
 EARLIER_CRASHES = (1, 2)
 MAX_STATES = 300_000
-NOW = 2 * FIRST_PAUSE
+NOW = 2 * SUSPECT_QUARANTINE
 
 ASKED, NOTICED, SENT, BROKEN, OVER = "asked", "noticed", "sent", "broken", "over"
 
 
-class LeastSpread(Random):
-    """Spreads nothing, so that equal states compare equal."""
+class WithoutJitter(Random):
+    """Adds no jitter, so that equal states compare equal."""
 
     def uniform(self, a, b):
         return a
@@ -39,11 +39,11 @@
     """
     Two gateways, each with one request, and the only target that both may use.
 
-    :ivar suspects: what each gateway knows, pickled.
+    :ivar suspects: each gateway's tracked suspects, pickled.
     :ivar phases: of each gateway's request.
-    :ivar wire: messages on their way to each gateway, pickled.
+    :ivar wire: messages in transit to each gateway, pickled.
     :ivar has_ended: whether the target crashed.
-    :ivar knows_end: whether each gateway found that out.
+    :ivar knows_end: whether each gateway detected the crash.
     """
 
     suspects: tuple[bytes, bytes]
@@ -53,7 +53,7 @@
     knows_end: tuple[bool, bool]
 
 
-def put(values, number, value):
+def replace_item(values, number, value):
     return (value, values[1]) if number == 0 else (values[0], value)
 
 
@@ -61,19 +61,20 @@
     """
     The orders in which two gateways may try two suspects.
 
-    The steps run the gateways' own decisions. Messages arrive in any order.
+    The steps run the gateways' own code. Messages arrive in any order.
 
-    :param fingerprints: what each gateway is asked.
-    :param is_prompt: whether news of a try arrive within the notice that is given.
+    :param fingerprints: of the request that each gateway gets.
+    :param is_announced_in_time: whether announcements of a trial arrive before it is
+        sent.
     """
 
-    def __init__(self, fingerprints, is_prompt):
+    def __init__(self, fingerprints, is_announced_in_time):
         self.fingerprints = fingerprints
-        self.is_prompt = is_prompt
+        self.is_announced_in_time = is_announced_in_time
         self.estimate = fleet(target("t3")).targets_by_id["t3"]
-        known = Suspects(LeastSpread(1))
+        known = Suspects(WithoutJitter(1))
         for key in EARLIER_CRASHES:
-            known.strike(key, sorted(set(fingerprints) | {FATAL}), 0.0)
+            known.record_crash(key, sorted(set(fingerprints) | {FATAL}), 0.0)
         snapshot = pickle.dumps(known)
         self.initial = World(
             (snapshot, snapshot), (ASKED, ASKED), ((), ()), False, (False, False)
@@ -85,7 +86,7 @@
             if world.has_ended and not world.knows_end[number]:
                 yield f"{number} finds the crash", self.act(world, number, "ended")
             for place in range(len(world.wire[number])):
-                yield f"{number} hears", self.hear(world, number, place)
+                yield f"{number} hears", self.receive(world, number, place)
         if not world.has_ended and any(
             phase == SENT and name == FATAL
             for phase, name in zip(world.phases, self.fingerprints, strict=True)
@@ -98,7 +99,7 @@
         if phase == ASKED:
             yield f"{number} begins", self.act(world, number, "begin")
         elif phase == NOTICED:
-            if not (self.is_prompt and has_notices(world)):
+            if not (self.is_announced_in_time and has_announcements(world)):
                 yield f"{number} sends", self.act(world, number, "send")
         elif phase == SENT and world.has_ended:
             yield f"{number} breaks off", self.act(world, number, "break")
@@ -106,28 +107,28 @@
             yield f"{number} is answered", self.act(world, number, "answer")
 
     def act(self, world, number, step):
-        """Let one gateway do something, and put what it tells on the wire."""
+        """Run one step of a gateway, and put the messages that it sends on the wire."""
         suspects = pickle.loads(world.suspects[number])
-        told = []
-        phase = self._act(suspects, told, world, number, step)
+        messages = []
+        phase = self._act(suspects, messages, world, number, step)
         other = 1 - number
-        arriving = (*world.wire[other], *(pickle.dumps(item) for item in told))
+        arriving = (*world.wire[other], *(pickle.dumps(item) for item in messages))
         return world._replace(
-            suspects=put(world.suspects, number, pickle.dumps(suspects)),
-            phases=put(world.phases, number, phase),
-            wire=put(world.wire, other, tuple(sorted(arriving))),
-            knows_end=put(
+            suspects=replace_item(world.suspects, number, pickle.dumps(suspects)),
+            phases=replace_item(world.phases, number, phase),
+            wire=replace_item(world.wire, other, tuple(sorted(arriving))),
+            knows_end=replace_item(
                 world.knows_end, number, step == "ended" or world.knows_end[number]
             ),
         )
 
-    def _act(self, suspects, told, world, number, step):
-        request = asked(self.fingerprints[number], f"r{number}")
-        reports = reports_of(suspects, told)
+    def _act(self, suspects, messages, world, number, step):
+        request = make_request(self.fingerprints[number], f"r{number}")
+        reports = make_reports(suspects, messages)
         if step == "begin":
             if reports.is_refused(request):
                 return OVER
-            reports.give_notice(request)
+            reports.announce(request)
             return NOTICED
         if step == "send":
             if world.has_ended or reports.is_refused(request):
@@ -143,31 +144,37 @@
         reports.target_ended(self.estimate.target, "nothing listens")
         return world.phases[number]
 
-    def hear(self, world, number, place):
+    def receive(self, world, number, place):
         suspects = pickle.loads(world.suspects[number])
         arriving = world.wire[number]
         message = pickle.loads(arriving[place])
-        reports_of(suspects, []).take(message, "peer")
+        make_reports(suspects, []).take(message, "peer")
         return world._replace(
-            suspects=put(world.suspects, number, pickle.dumps(suspects)),
-            wire=put(world.wire, number, arriving[:place] + arriving[place + 1 :]),
+            suspects=replace_item(world.suspects, number, pickle.dumps(suspects)),
+            wire=replace_item(
+                world.wire, number, arriving[:place] + arriving[place + 1 :]
+            ),
         )
 
-    def is_contested(self, values):
-        """Tell whether the target crashed under tries that had not heard of another."""
-        is_unheard = not self.is_prompt and len(set(self.fingerprints)) > 1
-        return is_unheard and values["phases"] == (BROKEN, BROKEN)
+    def is_ambiguous(self, values):
+        """Tell whether the target crashed during trials not announced to each other."""
+        is_unannounced = (
+            not self.is_announced_in_time and len(set(self.fingerprints)) > 1
+        )
+        return is_unannounced and values["phases"] == (BROKEN, BROKEN)
 
     def fatal_is_held(self, values):
-        least = FIRST_PAUSE if self.is_contested(values) else LONG_PAUSE
-        return not is_settled(values) or min(waits(values, FATAL)) >= least
+        least = (
+            SUSPECT_QUARANTINE if self.is_ambiguous(values) else FAILED_TRIAL_QUARANTINE
+        )
+        return not is_settled(values) or min(quarantine_times(values, FATAL)) >= least
 
     def others_are_not_blamed(self, values):
-        held = [max(waits(values, name)) for name in (LESSER, GREATER)]
-        return not is_settled(values) or max(held) < LONG_PAUSE
+        held = [max(quarantine_times(values, name)) for name in (LESSER, GREATER)]
+        return not is_settled(values) or max(held) < FAILED_TRIAL_QUARANTINE
 
-    def refuted(self):
-        """Return the shortest orders of events in which something does not hold."""
+    def violations(self):
+        """Return the shortest order of events that violates each invariant."""
         invariants = {
             "what crashed a target as it was tried is held": self.fatal_is_held,
             "what was only there is not held for long": self.others_are_not_blamed,
@@ -184,41 +191,41 @@
         }
 
 
-def has_notices(world):
-    """Tell whether a try is not known to all yet."""
+def has_announcements(world):
+    """Tell whether an announcement of a trial is still in transit."""
     arriving = [pickle.loads(data) for wire in world.wire for data in wire]
     return any(isinstance(message, SuspectTried) for message in arriving)
 
 
 class Reports(CrashReports):
-    """Reports whose notice of a try ends when the scenario says so."""
+    """Reports in which the scenario decides when an announced trial is sent."""
 
     def is_refused(self, request):
         found = self._suspects.refusal(request.fingerprint, request.request_id, NOW)
         return found is not None
 
-    def give_notice(self, request):
+    def announce(self, request):
         name, request_id = request.fingerprint, request.request_id
-        if self._suspects.try_again(name, request_id, NOW):
-            self._news.broadcast(SuspectTried(name))
+        if self._suspects.begin_trial(name, request_id, NOW):
+            self._publisher.broadcast(SuspectTried(name))
 
     def send(self, request):
-        self._suspects.try_sent(request.request_id)
+        self._suspects.trial_sent(request.request_id)
 
 
-class Told:
-    def __init__(self, told):
-        self.broadcast = told.append
+class MessageList:
+    def __init__(self, messages):
+        self.broadcast = messages.append
 
 
-def reports_of(suspects, told):
+def make_reports(suspects, messages):
     timers = ManualTimers()
     timers.advance(NOW)
-    return Reports(suspects, Told(told), timers, QuietLog())
+    return Reports(suspects, MessageList(messages), timers, QuietLog())
 
 
 def is_settled(values):
-    """Tell whether all of a crash was seen and told."""
+    """Tell whether both gateways know of the crash and both requests are done."""
     return (
         values["has_ended"]
         and all(values["knows_end"])
@@ -227,15 +234,21 @@
     )
 
 
-def waits(values, name):
+def quarantine_times(values, name):
     found = [pickle.loads(data) for data in values["suspects"]]
     return [
-        item.wait(name, NOW) if item.is_suspect(name, NOW) else 0.0 for item in found
+        item.remaining_quarantine(name, NOW) if item.is_suspect(name, NOW) else 0.0
+        for item in found
     ]
 
 
 @pytest.mark.parametrize("other", [LESSER, GREATER, FATAL])
-@pytest.mark.parametrize("is_prompt", [True, False])
-def test_one_that_crashes_its_target_is_to_blame(other, is_prompt):
-    """A try of which others hear late, or that others overtook, blamed nobody."""
-    assert Scenario((FATAL, other), is_prompt).refuted() == {}
+@pytest.mark.parametrize("is_announced_in_time", [True, False])
+def test_one_that_crashes_its_target_is_to_blame(other, is_announced_in_time):
+    """
+    Guards that the request whose trial crashes its target is blamed.
+
+    Nobody was blamed for a crash during a trial that was announced late or that another
+    gateway's trial had superseded.
+    """
+    assert Scenario((FATAL, other), is_announced_in_time).violations() == {}
--- a/tests/test_fatalrequests.py
+++ b/tests/test_fatalrequests.py
@@ -1,21 +1,22 @@
 """
-A request that crashes every target that runs it, asked again and again.
+A request that crashes every target that runs it, repeated by its callers.
 
-Callers asked the same thing 18 times within 12 s, under new ids and at all gateways.
-Each time the engine that wrote the answer ended 30 to 90 ms after it had begun, and
-with it up to eight answers to others; the next engine was given the same request,
-because no gateway knew it again. All writers were down at once, three times:
+Callers sent the same request 18 times within 12 s, under new ids and to all gateways.
+Each time, the decode engine crashed 30 to 90 ms after it had begun to generate the
+response, and up to eight responses to other requests broke off with it. No gateway
+recognized the request, so the next engine got it as well. All decode engines were down
+at once, three times:
 
     70.487 attempt_failed target=i-19a55bf3af reply_invalid "peer closed connection"
     70.609 attempt_failed target=i-c8a687f0f2 reply_invalid "peer closed connection"
     70.821 attempt_failed target=i-b49df0f51c reply_invalid "peer closed connection"
 
-136 requests of others were refused meanwhile, 0.36 of all. At each of eight crashes a
-request of one and the same size was aboard.
+Meanwhile 136 other requests were refused, 0.36 of all. At each of eight crashes, a
+request of the same size was in flight.
 
-Nothing outlived an attempt: its id, which is new each time, was all that a request was
-known by, and what a gateway had learned of it ended with its answer. With two gateways
-the request was sent to targets 32 times in 8 askings after its third crash.
+A gateway identified a request only by its id, which was new each time, and kept nothing
+about it after the response. With two gateways, the request was sent to targets 32 times
+while callers repeated it 8 times after its third crash.
 """
 
 import http.client
@@ -30,18 +31,18 @@
 FATAL = "fatal"
 GATEWAYS = ("gateway-1", "gateway-2")
 MODELS, PLAIN = ("writer-1", "writer-2", "writer-3"), ("plain-1", "plain-2")
-# Crashes after which a request is known for what it does.
+# Crashes after which a request is known to be fatal.
 CRASHES = 3
-# Seconds in which they happen, though it has to wait between them.
-CRASH_WITHIN = 20.0
-# Seconds in which all gateways learn of the last of them.
-LEARN_TIME = 3.0
-# How often it may still be sent to targets from then on, over all gateways.
+# Seconds in which they happen, including its quarantine between them.
+CRASH_TIMEOUT = 20.0
+# Seconds in which all gateways learn of the last crash.
+PROPAGATION_TIME = 3.0
+# How often it may still be sent to targets after that, by all gateways together.
 MAX_SENT = 3
 
 
 class FatalWorld(PlatformWorld):
-    """Targets that a certain body ends, and that come back under their names."""
+    """Targets that a certain request body crashes, restarted under the same names."""
 
     def __init__(self, fleet):
         super().__init__(fleet)
@@ -56,12 +57,12 @@
         self.configure(1)
         for name in GATEWAYS:
             self.gateway(name)
-        self.asked = 0
+        self.request_count = 0
 
     def ask(self, path, body=FATAL):
-        """Ask at one gateway after the other; return the status, 0 without one."""
-        gateway = GATEWAYS[self.asked % len(GATEWAYS)]
-        self.asked += 1
+        """Send a request, to the gateways in turn; return its status, 0 without one."""
+        gateway = GATEWAYS[self.request_count % len(GATEWAYS)]
+        self.request_count += 1
         headers = {}
         if path.startswith("/resume"):
             headers["Pimentolink-Token-Counts"] = "1200,50"
@@ -72,8 +73,8 @@
             return 0
         return found.status
 
-    def told(self, event):
-        """Count what all lives of all targets told."""
+    def count_events(self, event):
+        """Count the events logged by all incarnations of all targets."""
         count = 0
         for name in ("reader", *MODELS, *PLAIN):
             text = self.fleet.processes_by_name[name].log_path.read_text()
@@ -81,12 +82,12 @@
             count += sum(line["event"] == event for line in lines)
         return count
 
-    def sent(self):
-        """Count what reached targets, to be read or to be run."""
-        return self.told("read") + self.told("run")
+    def count_sent(self):
+        """Count the requests that reached targets, for prefill or to be run."""
+        return self.count_events("read") + self.count_events("run")
 
-    def bring_back(self):
-        """Start the targets that ended again, each as a new life of it."""
+    def restart_crashed(self):
+        """Restart the targets that ended, each as a new incarnation."""
         for name in (*MODELS, *PLAIN):
             process = self.fleet.processes_by_name[name]
             if not process.is_running:
@@ -99,15 +100,15 @@
                 )
 
     def crash(self, path):
-        """Ask until targets have crashed often enough, and let all learn of it."""
-        end = time.monotonic() + CRASH_WITHIN
-        while self.told("crash") < CRASHES and time.monotonic() < end:
+        """Send the request until enough targets crashed and all gateways know of it."""
+        end = time.monotonic() + CRASH_TIMEOUT
+        while self.count_events("crash") < CRASHES and time.monotonic() < end:
             self.ask(path)
             time.sleep(0.2)
-            self.bring_back()
-        assert self.told("crash") >= CRASHES
-        time.sleep(LEARN_TIME)
-        self.bring_back()
+            self.restart_crashed()
+        assert self.count_events("crash") >= CRASHES
+        time.sleep(PROPAGATION_TIME)
+        self.restart_crashed()
 
 
 @pytest.fixture
@@ -119,12 +120,12 @@
     @pytest.mark.parametrize("path", ["/resume/x", "/read/x"])
     def test_reaches_few_targets_once_three_have_crashed(self, world, path):
         world.crash(path)
-        before = world.sent()
+        before = world.count_sent()
         for _ in range(2 * MAX_SENT + 2):
             world.ask(path)
             time.sleep(0.1)
-            world.bring_back()
-        assert world.sent() - before <= MAX_SENT
+            world.restart_crashed()
+        assert world.count_sent() - before <= MAX_SENT
 
     def test_is_known_to_gateways_that_started_since(self, world):
         world.crash("/resume/x")
@@ -134,12 +135,12 @@
             world.fleet.start_again(name)
         world.fleet.settle()
         wait_until(lambda: all(world.is_ready(name) for name in GATEWAYS))
-        before = world.sent()
+        before = world.count_sent()
         for _ in range(2 * MAX_SENT + 2):
             world.ask("/resume/x")
             time.sleep(0.1)
-            world.bring_back()
-        assert world.sent() - before <= MAX_SENT
+            world.restart_crashed()
+        assert world.count_sent() - before <= MAX_SENT
 
     def test_is_found_and_released_by_an_operator(self, world):
         world.crash("/read/x")
--- a/tests/test_suspectstore.py
+++ b/tests/test_suspectstore.py
@@ -1,4 +1,4 @@
-"""What is held against requests outlives the gateways that know it."""
+"""Crashes of suspects outlive the gateways that recorded them."""
 
 from random import Random
 
@@ -12,22 +12,22 @@
 from pimentolink.retry import Backoff
 from pimentolink.suspects import Suspects
 from pimentolink.suspectstore import (
-    GATHER,
-    HEARD_SPREAD,
-    HEARD_WAIT,
-    MAX_NEWS,
+    BATCH_DELAY,
+    MAX_DOCUMENT_MESSAGES,
+    RELAYED_WRITE_DELAY,
+    RELAYED_WRITE_JITTER,
     SUSPECT_PREFIX,
     SuspectStore,
 )
-from pimentolink.suspicion import KEEP, LONG_PAUSE
+from pimentolink.suspicion import FAILED_TRIAL_QUARANTINE, KEEP
 from pimentolink.timers import ManualTimers
 from tests.jsonvalues import DOCUMENTS
 
 FATAL, OTHER = "f" * 32, "0" * 32
 
 
-class Part:
-    """One gateway's suspects with its documents, on a store that others share."""
+class Gateway:
+    """One gateway's suspects and their documents, in a store shared with others."""
 
     def __init__(self, name, keyspace, timers):
         self.keyspace, self.timers, self.lines = keyspace, timers, []
@@ -42,8 +42,8 @@
             Random(name),
             self,
         )
-        self.store.on_news = self.reports.take
-        self.reports.on_struck = self.store.struck
+        self.store.on_message = self.reports.take
+        self.reports.on_crash_recorded = self.store.crash_recorded
         self.reports.on_cleared = self.store.cleared
 
     def broadcast(self, message):
@@ -52,14 +52,14 @@
     def write(self, event, **fields):
         self.lines.append((event.number, fields))
 
-    def hear(self, target, *names):
+    def receive_crash(self, target, *names):
         self.reports.take(TargetCrashed(target, list(names)), "peer")
 
-    def see(self, target, *names):
+    def detect_crash(self, target, *names):
         now = self.timers.now()
-        self.store.struck(bool(self.suspects.strike(target, names, now)))
+        self.store.crash_recorded(bool(self.suspects.record_crash(target, names, now)))
 
-    def read(self):
+    def read_documents(self):
         for item in documents(self.keyspace):
             self.store.key_changed(Change(item.key, item.value, item.revision))
 
@@ -78,8 +78,8 @@
         self.timers = ManualTimers()
         self.keyspace = MemoryKeyspace(self.timers)
 
-    def part(self, name):
-        return Part(name, self.keyspace, self.timers)
+    def gateway(self, name):
+        return Gateway(name, self.keyspace, self.timers)
 
 
 @pytest.fixture
@@ -89,100 +89,103 @@
 
 class TestWriting:
     def test_one_crash_costs_no_call(self, world):
-        part = world.part("g1")
-        part.see(1, FATAL, OTHER)
+        gateway = world.gateway("g1")
+        gateway.detect_crash(1, FATAL, OTHER)
         world.timers.advance(10.0)
         assert world.keyspace.revision == 0
 
     def test_suspect_is_known_to_a_gateway_that_starts_later(self, world):
-        part = world.part("g1")
-        part.hear(1, FATAL, OTHER)
-        part.see(2, FATAL)
-        world.timers.advance(GATHER)
-        later = world.part("g2")
-        later.read()
+        gateway = world.gateway("g1")
+        gateway.receive_crash(1, FATAL, OTHER)
+        gateway.detect_crash(2, FATAL)
+        world.timers.advance(BATCH_DELAY)
+        later = world.gateway("g2")
+        later.read_documents()
         assert later.crashes() == [1, 2]
         assert later.crashes(OTHER) == []
 
     def test_who_is_to_blame_is_known_to_it_too(self, world):
-        part = world.part("g1")
+        gateway = world.gateway("g1")
         for target in (1, 2):
-            part.see(target, FATAL)
+            gateway.detect_crash(target, FATAL)
         world.timers.advance(1.0)
-        part.reports.take(TargetCrashed(3, [FATAL], True), "peer")
-        world.timers.advance(HEARD_WAIT + HEARD_SPREAD)
-        later = world.part("g2")
-        later.read()
-        assert later.suspects.wait(FATAL, world.timers.now()) >= LONG_PAUSE
+        gateway.reports.take(TargetCrashed(3, [FATAL], True), "peer")
+        world.timers.advance(RELAYED_WRITE_DELAY + RELAYED_WRITE_JITTER)
+        later = world.gateway("g2")
+        later.read_documents()
+        assert (
+            later.suspects.remaining_quarantine(FATAL, world.timers.now())
+            >= FAILED_TRIAL_QUARANTINE
+        )
 
     def test_between_cells_the_first_crash_is_known(self, world):
-        part = world.part("g1")
-        part.store.is_divided = lambda: True
-        part.see(1, FATAL)
-        world.timers.advance(GATHER)
-        later = world.part("g2")
-        later.read()
+        gateway = world.gateway("g1")
+        gateway.store.is_divided = lambda: True
+        gateway.detect_crash(1, FATAL)
+        world.timers.advance(BATCH_DELAY)
+        later = world.gateway("g2")
+        later.read_documents()
         assert later.crashes() == [1]
 
     def test_documents_of_several_gateways_add_up(self, world):
-        first, second = world.part("g1"), world.part("g2")
-        for part, targets in ((first, (1, 2)), (second, (2, 3))):
+        first, second = world.gateway("g1"), world.gateway("g2")
+        for gateway, targets in ((first, (1, 2)), (second, (2, 3))):
             for target in targets:
-                part.see(target, FATAL)
+                gateway.detect_crash(target, FATAL)
         world.timers.advance(1.0)
-        later = world.part("g3")
-        later.read()
+        later = world.gateway("g3")
+        later.read_documents()
         assert later.crashes() == [1, 2, 3]
 
     def test_who_only_heard_writes_if_nobody_else_has(self, world):
-        heard = world.part("g2")
+        heard = world.gateway("g2")
         for target in (1, 2):
-            heard.hear(target, FATAL)
-        world.timers.advance(0.9 * HEARD_WAIT)
+            heard.receive_crash(target, FATAL)
+        world.timers.advance(0.9 * RELAYED_WRITE_DELAY)
         assert documents(world.keyspace) == []
-        world.timers.advance(0.1 * HEARD_WAIT + HEARD_SPREAD)
+        world.timers.advance(0.1 * RELAYED_WRITE_DELAY + RELAYED_WRITE_JITTER)
         assert len(documents(world.keyspace)) == 1
 
     def test_who_only_heard_leaves_it_to_who_saw(self, world):
-        saw, heard = world.part("g1"), world.part("g2")
-        for part in (saw, heard):
-            part.hear(1, FATAL)
-        saw.see(2, FATAL)
-        heard.hear(2, FATAL)
-        world.timers.advance(GATHER)
-        heard.read()
-        world.timers.advance(HEARD_WAIT + HEARD_SPREAD)
+        saw, heard = world.gateway("g1"), world.gateway("g2")
+        for gateway in (saw, heard):
+            gateway.receive_crash(1, FATAL)
+        saw.detect_crash(2, FATAL)
+        heard.receive_crash(2, FATAL)
+        world.timers.advance(BATCH_DELAY)
+        heard.read_documents()
+        world.timers.advance(RELAYED_WRITE_DELAY + RELAYED_WRITE_JITTER)
         assert len(documents(world.keyspace)) == 1
 
     def test_store_that_is_away_is_written_when_it_is_back(self, world):
-        part = world.part("g1")
+        gateway = world.gateway("g1")
         world.keyspace.is_down = True
         for target in (1, 2):
-            part.see(target, FATAL)
+            gateway.detect_crash(target, FATAL)
         world.timers.advance(5.0)
-        assert any(number == "E1422" for number, _ in part.lines)
+        assert any(number == "E1422" for number, _ in gateway.lines)
         world.keyspace.is_down = False
         world.timers.advance(2.0)
-        later = world.part("g2")
-        later.read()
+        later = world.gateway("g2")
+        later.read_documents()
         assert later.crashes() == [1, 2]
 
     def test_lost_answer_of_a_write_is_made_up_for(self, world):
-        part = world.part("g1")
+        gateway = world.gateway("g1")
         world.keyspace.answers_to_lose = 1
         for target in (1, 2):
-            part.see(target, FATAL)
+            gateway.detect_crash(target, FATAL)
         world.timers.advance(3.0)
-        part.see(3, FATAL)
+        gateway.detect_crash(3, FATAL)
         world.timers.advance(3.0)
-        later = world.part("g2")
-        later.read()
+        later = world.gateway("g2")
+        later.read_documents()
         assert later.crashes() == [1, 2, 3]
 
     def test_documents_lapse(self, world):
-        part = world.part("g1")
+        gateway = world.gateway("g1")
         for target in (1, 2):
-            part.see(target, FATAL)
+            gateway.detect_crash(target, FATAL)
         world.timers.advance(KEEP + 1.0)
         assert documents(world.keyspace) == []
 
@@ -191,29 +194,29 @@
     @pytest.mark.parametrize("is_cleared_first", [True, False])
     def test_holds_in_whichever_order_it_is_read(self, world, is_cleared_first):
         names = ["b", "a"] if is_cleared_first else ["a", "b"]
-        saw, answered = (world.part(name) for name in names)
+        saw, answered = (world.gateway(name) for name in names)
         for target in (1, 2):
-            saw.see(target, FATAL)
-        world.timers.advance(GATHER)
-        answered.read()
+            saw.detect_crash(target, FATAL)
+        world.timers.advance(BATCH_DELAY)
+        answered.read_documents()
         answered.store.cleared(SuspectCleared(FATAL, [1, 2]))
-        world.timers.advance(GATHER)
-        later = world.part("g3")
-        later.read()
+        world.timers.advance(BATCH_DELAY)
+        later = world.gateway("g3")
+        later.read_documents()
         assert later.crashes() == []
 
     def test_while_the_store_is_away_is_bounded_and_written_later(self, world):
-        part = world.part("g1")
+        gateway = world.gateway("g1")
         world.keyspace.is_down = True
-        for number in range(2 * MAX_NEWS):
-            part.store.cleared(SuspectCleared(f"{number:032x}", [1]))
+        for number in range(2 * MAX_DOCUMENT_MESSAGES):
+            gateway.store.cleared(SuspectCleared(f"{number:032x}", [1]))
         world.timers.advance(5.0)
         world.keyspace.is_down = False
         world.timers.advance(5.0)
-        later = world.part("g2")
-        later.read()
-        newest = f"{2 * MAX_NEWS - 1:032x}"
-        assert later.suspects.strike(1, [newest], 0.0) == []
+        later = world.gateway("g2")
+        later.read_documents()
+        newest = f"{2 * MAX_DOCUMENT_MESSAGES - 1:032x}"
+        assert later.suspects.record_crash(1, [newest], 0.0) == []
         assert world.keyspace.revision == 1
 
 
@@ -221,6 +224,6 @@
     @settings(max_examples=300, deadline=None)
     @given(DOCUMENTS)
     def test_whatever_is_written_changes_nothing(self, data):
-        part = World().part("g1")
-        part.store.key_changed(Change(SUSPECT_PREFIX + "x", data, 1))
-        assert part.suspects.unstored(1, 0.0) == []
+        gateway = World().gateway("g1")
+        gateway.store.key_changed(Change(SUSPECT_PREFIX + "x", data, 1))
+        assert gateway.suspects.unstored(1, 0.0) == []
