--- a/pimentolink/apikeys.py
+++ b/pimentolink/apikeys.py
@@ -64,16 +64,12 @@
     """
     authorizations = [value for name, value in headers if name.lower() == AUTHORIZATION]
     if not authorizations:
-        return Err(Unauthenticated("the request has no Authorization header"))
+        return Err(Unauthenticated("the request bears no API key"))
     if len(authorizations) > 1:
-        return Err(
-            Unauthenticated("the request has more than one Authorization header")
-        )
+        return Err(Unauthenticated("the request bears more than one authorization"))
     match = _BEARER_PATTERN.fullmatch(authorizations[0].strip())
     if match is None:
-        return Err(
-            Unauthenticated("the Authorization header is not a valid bearer token")
-        )
+        return Err(Unauthenticated("the authorization is no bearer token"))
     return Ok(match[1])
 
 
--- a/pimentolink/attempts.py
+++ b/pimentolink/attempts.py
@@ -108,5 +108,5 @@
         :param failure: reported if no target can have run the request.
         """
         if self.may_have_run:
-            return LateAnswer("no complete response before the deadline")
+            return LateAnswer("no whole answer within the time allowed")
         return failure
--- a/pimentolink/breaker.py
+++ b/pimentolink/breaker.py
@@ -85,9 +85,7 @@
             self._is_trial_running or self._timers.now() < self._next_trial_at
         ):
             refused: Deferred[Answered] = Deferred()
-            refused.errback(
-                KeyValueUnavailable("call refused: the circuit breaker is open")
-            )
+            refused.errback(KeyValueUnavailable("not asked: it did not answer before"))
             return refused
         self._is_trial_running = self.is_open
         return call().addCallbacks(self._on_success, self._on_failure)
--- a/pimentolink/prefillqueue.py
+++ b/pimentolink/prefillqueue.py
@@ -101,7 +101,7 @@
         """
         placement = self._placer.best(prompt, now)
         if placement is None:
-            return NoTarget(f"no engine of {prompt.service} accepts work", 1.0)
+            return NoTarget(f"no engine of {prompt.service} takes work", 1.0)
         entry = _QueueEntry(prompt, placement, (now, self._dispatch_count))
         decode_starts_at = placement.decode_ready_at + self._wait_ahead(entry, now)
         failure = self._refusal(prompt, placement, decode_starts_at, now)
@@ -174,8 +174,8 @@
             max(MIN_RETRY_AFTER, decode_starts_at - prompt.on_time_until),
         )
         return CannotBeInTime(
-            f"decoding could start in {decode_starts_at - now:.2f} s, "
-            f"only {latest_start - now:.2f} s remain",
+            f"would be read in {decode_starts_at - now:.2f} s, "
+            f"{latest_start - now:.2f} s are left",
             retry_after,
         )
 
--- a/pimentolink/prefillscheduler.py
+++ b/pimentolink/prefillscheduler.py
@@ -130,7 +130,7 @@
 
     def _refuse_unservable(self) -> None:
         for prompt in self._queue.pop_unservable(self._timers.now()):
-            failure = CannotBeInTime("engines have fallen behind schedule", USUAL_PAUSE)
+            failure = CannotBeInTime("the engines fell behind", USUAL_PAUSE)
             self._log_refusal(prompt, failure)
             self._waiters_by_id.pop(prompt.request_id).errback(failure)
 
--- a/pimentolink/suspects.py
+++ b/pimentolink/suspects.py
@@ -351,7 +351,9 @@
             wait = max(wait, self._trial.ends_at - now)
         if wait <= 0:
             return None
-        return Quarantined(f"{crashes} targets crashed while it was in flight", wait)
+        return Quarantined(
+            f"{crashes} targets crashed while it was under way there", wait
+        )
 
     def _is_tried_as(self, request_id: str) -> bool:
         return self._trial is not None and self._trial.request_id == request_id
