--- a/pimentolink/keyspace.py
+++ b/pimentolink/keyspace.py
@@ -1,11 +1,12 @@
 """
-Keys of the platform's store under one prefix: read, followed and changed.
-
-The store may be restored from an older copy of itself, which begins a new epoch:
-what was written since the copy is gone, leases too, and its own counters go back.
-Revisions and leases are told with their epoch in their upper bits, so that revisions
-always rise, no lease or revision of an earlier epoch is taken for one that was given
-out again, and a revision is a fencing number that no restore lowers.
+Interface to the platform's key-value store: read, watch and write keys.
+
+The store may be restored from an older copy of itself, which starts a new epoch:
+everything written after the copy is lost, including all leases, and the store's
+counters go back. Revisions and lease ids therefore carry the epoch in their upper
+bits. Revisions thus never decrease, a revision or lease of an earlier epoch is never
+confused with one that the restored store issues again, and a revision can serve as a
+fencing number that no restore lowers.
 """
 
 from __future__ import annotations
@@ -15,48 +16,50 @@
 
 from twisted.internet.defer import Deferred
 
-# Bits of a revision below its epoch. With epochs up to 2**13 a revision stays exact as
-# a number of JSON, which fencing tokens need.
+# Number of low bits that hold the store's own revision; the epoch is above them. With
+# epochs up to 2**13 a revision is exactly representable as a JSON number, which fencing
+# tokens require.
 REVISION_BITS = 40
-# Bits of a lease below its epoch; leases are not counted but drawn.
+# Number of low bits that hold the store's own lease id; the epoch is above them. The
+# store draws lease ids from all 64-bit numbers instead of counting them.
 LEASE_BITS = 64
 
 
 def with_epoch(epoch: int, revision: int) -> int:
-    """Put the epoch before a revision of it."""
+    """Combine an epoch and one of its revisions."""
     return (epoch << REVISION_BITS) | revision
 
 
 def epoch_of(revision: int) -> int:
-    """Tell the epoch of a revision."""
+    """Return the epoch of a revision."""
     return revision >> REVISION_BITS
 
 
 def without_epoch(revision: int) -> int:
-    """Tell a revision as the store itself counts it."""
+    """Return a revision as the store itself counts it."""
     return revision & ((1 << REVISION_BITS) - 1)
 
 
 def lease_with_epoch(epoch: int, lease: int) -> int:
-    """Put the epoch before a lease of it."""
+    """Combine an epoch and one of its lease ids."""
     return (epoch << LEASE_BITS) | lease
 
 
 def epoch_of_lease(lease: int) -> int:
-    """Tell the epoch of a lease."""
+    """Return the epoch of a lease id."""
     return lease >> LEASE_BITS
 
 
 def lease_without_epoch(lease: int) -> int:
-    """Tell a lease as the store itself names it."""
+    """Return a lease id as the store itself knows it."""
     return lease & ((1 << LEASE_BITS) - 1)
 
 
 class Item(NamedTuple):
     """
-    A key as stored.
+    A key and its value as stored.
 
-    :ivar revision: of the store, at the key's last change.
+    :ivar revision: of the store when the key was last changed.
     """
 
     key: str
@@ -68,7 +71,8 @@
     """
     One change of a key.
 
-    :ivar value: ``None`` if the key was removed.
+    :ivar value: the new value; ``None`` if the key was removed.
+    :ivar revision: of the store after the change.
     """
 
     key: str
@@ -80,7 +84,7 @@
     """
     All keys under a prefix.
 
-    :ivar revision: changes after it are not yet in the items.
+    :ivar revision: of the store when they were read; later changes are not included.
     """
 
     items: tuple[Item, ...]
@@ -88,7 +92,7 @@
 
 
 class Changes(NamedTuple):
-    """Changes in order; to be continued from ``revision``."""
+    """Changes in the order of their revisions; the next watch follows ``revision``."""
 
     changes: tuple[Change, ...]
     revision: int
@@ -96,11 +100,11 @@
 
 class Write(NamedTuple):
     """
-    A write that is made only if the key is at a revision.
+    A write that succeeds only if the key has the expected revision.
 
-    :ivar expected: revision of the key; 0 demands that it is absent.
+    :ivar expected: required revision of the key; 0 if the key must be absent.
     :ivar lease: the key is removed when this lease ends; 0 for none.
-    :ivar guard: a further key and the revision that it must be at.
+    :ivar guard: another key and the revision that it must have.
     """
 
     key: str
@@ -112,10 +116,10 @@
 
 class Keyspace(Protocol):
     """
-    What a gateway needs of the store; every call has a price.
+    The store operations that a gateway uses; each call counts towards its cost.
 
-    :ivar epoch: of the newest answer; 0 before the first.
-    :ivar on_restored: called when an answer shows that the store was restored.
+    :ivar epoch: of the store in its latest response; 0 before the first.
+    :ivar on_restored: called when a response shows that the store was restored.
     """
 
     epoch: int
@@ -125,56 +129,58 @@
         """
         Read all keys under a prefix.
 
-        :raises KeyValueUnavailable: without an answer.
+        :raises KeyValueUnavailable: if the store does not respond.
         """
 
     def changes(self, prefix: str, after: int, wait: float) -> Deferred[Changes]:
         """
-        Wait for changes.
+        Wait for changes of keys under a prefix.
 
-        :param after: revision up to which all is known.
-        :param wait: seconds after which it answers without changes.
-        :raises HistoryLost: if these changes are no longer kept, or the store was
-            restored from a copy that may lack some of them.
-        :raises KeyValueUnavailable: without an answer.
+        :param after: revision up to which the caller knows all changes.
+        :param wait: seconds after which the call returns without changes.
+        :raises HistoryLost: if the store no longer keeps these changes, or was restored
+            from a copy that may lack some of them.
+        :raises KeyValueUnavailable: if the store does not respond.
         """
 
     def read(self, key: str) -> Deferred[Item | None]:
         """
         Read one key.
 
-        :raises KeyValueUnavailable: without an answer.
+        :returns: the key; ``None`` if it is absent.
+        :raises KeyValueUnavailable: if the store does not respond.
         """
 
     def write(self, write: Write) -> Deferred[int | None]:
         """
-        Write a key under a condition.
+        Write a key if the conditions of the write hold.
 
-        :returns: the new revision; ``None`` if the key was at another one.
+        :returns: the new revision; ``None`` if the key or the guard had another one.
         :raises LeaseLost: if the lease has ended.
-        :raises KeyValueUnavailable: without an answer; the write may have been made,
-            or may still be made while its condition holds.
+        :raises KeyValueUnavailable: if the store does not respond; the write may have
+            been applied, or may still be applied while its conditions hold.
         """
 
     def grant(self, seconds: float) -> Deferred[int]:
         """
-        Ask for a lease.
+        Request a lease.
 
-        :returns: its number.
-        :raises KeyValueUnavailable: without an answer.
+        :param seconds: its time to live unless it is renewed.
+        :returns: its id.
+        :raises KeyValueUnavailable: if the store does not respond.
         """
 
     def renew(self, lease: int) -> Deferred[None]:
         """
-        Renew a lease, for as long as it was granted.
+        Renew a lease for its full time to live.
 
         :raises LeaseLost: if it has ended.
-        :raises KeyValueUnavailable: without an answer.
+        :raises KeyValueUnavailable: if the store does not respond.
         """
 
     def end(self, lease: int) -> Deferred[None]:
         """
-        End a lease; its keys are removed.
+        Revoke a lease and remove its keys.
 
-        :raises KeyValueUnavailable: without an answer.
+        :raises KeyValueUnavailable: if the store does not respond.
         """
--- a/pimentolink/keyspacefollower.py
+++ b/pimentolink/keyspacefollower.py
@@ -1,4 +1,4 @@
-"""Follows all keys under a prefix through outages and lost history."""
+"""Watches all keys under a prefix and recovers from outages and lost history."""
 
 from __future__ import annotations
 
@@ -17,22 +17,25 @@
 
 
 class KeyspaceListener(Protocol):
-    """Learns what stands in the store."""
+    """Receives the content of the store and its changes."""
 
     def key_changed(self, change: Change) -> None:
-        """Take one change."""
+        """Handle one change."""
 
-    def changes_told(self) -> None:
-        """Learn that all changes of one answer were told."""
+    def changes_delivered(self) -> None:
+        """Handle the end of the changes of one response."""
 
-    def keys_read(self, keys: frozenset[str], asked_at: float, epoch: int) -> None:
+    def snapshot_delivered(
+        self, keys: frozenset[str], requested_at: float, epoch: int
+    ) -> None:
         """
-        Learn that all keys were read, each told by :meth:`key_changed` before.
+        Handle a full read, after :meth:`key_changed` was called for each key.
 
-        :meth:`changes_told` follows.
+        :meth:`changes_delivered` is called next.
 
-        :param keys: those that exist; all others are gone.
-        :param asked_at: when they were asked for, on the clock that goes on while the
+        :param keys: all keys that exist; any other was removed.
+        :param requested_at: when the read was sent, in seconds of
+            :meth:`~pimentolink.timers.Timers.boot_time`, which also counts while the
             instance is suspended.
         :param epoch: of the store.
         """
@@ -40,10 +43,13 @@
 
 class KeyspaceFollower:
     """
-    Keeps one watch open.
+    Keeps one watch open and passes its changes to a listener.
+
+    After an outage or when history was lost, it reads all keys again, since it may have
+    missed changes.
 
-    After lost history or an outage everything is read again, since changes may have
-    been missed.
+    :ivar is_connected: whether the store responded to the last call.
+    :ivar confirmed_at: when the store last responded, in seconds of the timer service.
     """
 
     def __init__(
@@ -57,15 +63,15 @@
         log: Log,
     ) -> None:
         """
-        Prepare; :meth:`start` begins.
+        Create a follower; :meth:`start` makes the first call.
 
         :param prefix: of the keys.
         :param keyspace: the store.
-        :param listener: learns of every change.
-        :param settings: patience and pauses.
+        :param listener: receives every change.
+        :param settings: length of a watch, backoff and pause between watches.
         :param timers: the timer service.
-        :param random: seeded source for jitter.
-        :param log: where events go.
+        :param random: seeded source of jitter.
+        :param log: receives the events.
         """
         self._prefix = prefix
         self._keyspace = keyspace
@@ -74,81 +80,85 @@
         self._timers = timers
         self._log = log
         self._backoff = Backoff(settings.backoff_first, settings.backoff_most, random)
-        self._running: Deferred[None] | None = None
+        self._loop: Deferred[None] | None = None
         self._revision: int | None = None
         self.is_connected = False
-        # Whether the store may answer; while it does not, each try costs a call.
+        # Whether the store is expected to respond. During an outage, retries are
+        # skipped while this is false, since each one costs a call.
         self.may_ask: Callable[[], bool] = lambda: True
         self.confirmed_at = timers.now()
 
     def start(self) -> None:
-        """Read everything, then watch."""
-        self._running = in_background(self._follow())
+        """Read all keys, then watch them."""
+        self._loop = in_background(self._run())
 
     def restart(self) -> None:
-        """Read everything again now; what is known may be old."""
+        """Read all keys again now, since the known ones may be outdated."""
         self.stop()
         self._revision = None
         self.start()
 
     def stop(self) -> None:
-        """Watch no more."""
-        if self._running is not None:
-            self._running.cancel()
+        """Stop watching."""
+        if self._loop is not None:
+            self._loop.cancel()
 
     def age(self) -> float:
-        """Tell how long ago the store last confirmed what is known, in seconds."""
+        """Return the seconds since the store last responded."""
         return self._timers.now() - self.confirmed_at
 
-    async def _follow(self) -> None:
+    async def _run(self) -> None:
         while True:
             try:
                 if self.may_ask() or self.is_connected:
-                    await self._step()
+                    await self._read_or_watch()
                 else:
                     await pause(self._timers, self._settings.backoff_first)
             except HistoryLost:
                 self._log.write(LogEvent.HISTORY_LOST, after=self._revision)
                 self._revision = None
             except KeyValueUnavailable as failure:
-                self._disconnected(failure)
+                self._record_outage(failure)
                 await pause(self._timers, self._backoff.next())
 
-    def _step(self) -> Coroutine[Any, Any, None]:
+    def _read_or_watch(self) -> Coroutine[Any, Any, None]:
         return self._read_all() if self._revision is None else self._watch()
 
     async def _read_all(self) -> None:
-        asked_at = self._timers.boot_time()
+        requested_at = self._timers.boot_time()
         snapshot = await self._keyspace.read_all(self._prefix)
-        self._confirmed()
+        self._record_response()
         for item in snapshot.items:
             self._listener.key_changed(Change(item.key, item.value, item.revision))
         keys = frozenset(item.key for item in snapshot.items)
-        self._listener.keys_read(keys, asked_at, epoch_of(snapshot.revision))
-        self._listener.changes_told()
+        self._listener.snapshot_delivered(
+            keys, requested_at, epoch_of(snapshot.revision)
+        )
+        self._listener.changes_delivered()
         self._revision = snapshot.revision
 
     async def _watch(self) -> None:
         assert self._revision is not None
         wait = self._settings.watch_wait
         found = await self._keyspace.changes(self._prefix, self._revision, wait)
-        self._confirmed()
+        self._record_response()
         for change in found.changes:
             self._listener.key_changed(change)
         self._revision = found.revision
         if found.changes:
-            self._listener.changes_told()
+            self._listener.changes_delivered()
             await pause(self._timers, self._settings.gather)
 
-    def _confirmed(self) -> None:
+    def _record_response(self) -> None:
         self.confirmed_at = self._timers.now()
         self._backoff.reset()
         if not self.is_connected:
             self.is_connected = True
             self._log.write(LogEvent.KEY_VALUE_BACK, prefix=self._prefix)
 
-    def _disconnected(self, failure: KeyValueUnavailable) -> None:
-        # Changes may be missed between a broken watch and the next call.
+    def _record_outage(self, failure: KeyValueUnavailable) -> None:
+        # Changes between a failed watch and the next call may be missed, so that call
+        # reads all keys.
         self._revision = None
         if self.is_connected:
             self.is_connected = False
--- a/pimentolink/keyspacestore.py
+++ b/pimentolink/keyspacestore.py
@@ -1,4 +1,4 @@
-"""The key-value port of entries and sidecars, over a keyspace."""
+"""Adapts a keyspace to the key-value interface of entries and sidecars."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 class KeyspaceStore:
     """
-    Lets whatever speaks :class:`~pimentolink.kvstore.KeyValueStore` run on a keyspace.
+    Implements :class:`~pimentolink.kvstore.KeyValueStore` on a keyspace.
 
-    So configurations, plans and leases of the product's own build-up can stand in the
-    same store that gateways follow.
+    Configurations, plans and leases of a deployment with entries and sidecars can thus
+    be kept in the store that gateways watch.
     """
 
     def __init__(self, keyspace: Keyspace, timers: Timers) -> None:
         """
-        Wrap a keyspace; no call is made yet.
+        Wrap a keyspace without calling it.
 
         :param keyspace: the store.
         :param timers: the timer service.
         """
         self._keyspace = keyspace
         self._timers = timers
-        self._lease = 0
+        self._lease_id = 0
         self._leased_keys: set[str] = set()
 
     def get(self, key: str) -> Deferred[Value]:
@@ -35,7 +35,7 @@
         return Deferred.fromCoroutine(self._read(key))
 
     def watch(self, key: str, index: int, wait: float) -> Deferred[Value]:
-        """Read a key once it has changed."""
+        """Read a key once it has changed, or after ``wait`` seconds."""
         return Deferred.fromCoroutine(self._watch(key, index, wait))
 
     def compare_and_swap(
@@ -45,14 +45,15 @@
         return self._keyspace.write(Write(key, data, revision))
 
     def hold_lease(self, key: str, holder: str, seconds: float) -> Deferred[bool]:
-        """Take or renew a lease."""
-        return Deferred.fromCoroutine(self._hold(key, holder, seconds))
+        """Acquire or renew a lease."""
+        return Deferred.fromCoroutine(self._acquire_lease(key, holder, seconds))
 
     async def _read(self, key: str) -> Value:
         item = await self._keyspace.read(key)
         if item is not None:
             return Value(item.value, item.revision, item.revision)
-        # An absent key has no revision to wait beyond; the store's own has to do.
+        # An absent key has no revision that a watch could start from, so use the
+        # revision of the store.
         snapshot = await self._keyspace.read_all(key)
         for item in snapshot.items:
             if item.key == key:
@@ -60,36 +61,36 @@
         return Value(None, 0, snapshot.revision)
 
     async def _watch(self, key: str, index: int, wait: float) -> Value:
-        until = self._timers.now() + wait
-        while (left := until - self._timers.now()) > 0:
+        deadline = self._timers.now() + wait
+        while (remaining := deadline - self._timers.now()) > 0:
             try:
-                found = await self._keyspace.changes(key, index, left)
+                found = await self._keyspace.changes(key, index, remaining)
             except HistoryLost:
                 break
             index = found.revision
             for change in reversed(found.changes):
-                # Keys that only begin alike are told too.
+                # The watch covers a prefix, so it also reports longer keys.
                 if change.key == key:
                     return Value(change.value, change.revision, index)
         return await self._read(key)
 
-    async def _hold(self, key: str, holder: str, seconds: float) -> bool:
-        await self._keep_lease(seconds)
+    async def _acquire_lease(self, key: str, holder: str, seconds: float) -> bool:
+        await self._renew_or_grant_lease(seconds)
         if key in self._leased_keys:
             return True
-        write = Write(key, holder.encode(), 0, self._lease)
-        is_held = await self._keyspace.write(write) is not None
-        if is_held:
+        write = Write(key, holder.encode(), 0, self._lease_id)
+        is_acquired = await self._keyspace.write(write) is not None
+        if is_acquired:
             self._leased_keys.add(key)
-        return is_held
+        return is_acquired
 
-    async def _keep_lease(self, seconds: float) -> None:
-        if self._lease:
+    async def _renew_or_grant_lease(self, seconds: float) -> None:
+        if self._lease_id:
             try:
-                await self._keyspace.renew(self._lease)
+                await self._keyspace.renew(self._lease_id)
             except LeaseLost:
-                # Its keys are gone with it.
+                # The store removed the keys together with the lease.
                 self._leased_keys.clear()
             else:
                 return
-        self._lease = await self._keyspace.grant(seconds)
+        self._lease_id = await self._keyspace.grant(seconds)
--- a/pimentolink/membership.py
+++ b/pimentolink/membership.py
@@ -1,4 +1,4 @@
-"""Keeps configuration, targets and other gateways as the store tells them."""
+"""Applies the store's configuration, targets and gateways to this gateway."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Documents(Protocol):
-    """Reads the documents of a deployment's store."""
+    """Parses the documents in the store of a deployment."""
 
     configuration_key: str
     target_prefix: str
@@ -34,18 +34,29 @@
     def read_configuration(
         self, document: bytes
     ) -> Result[RoutingTable, DocumentInvalid]:
-        """Read the operators' configuration."""
+        """Parse the operators' configuration."""
 
     def read_target(self, key: str, document: bytes) -> Result[Target, DocumentInvalid]:
-        """Read the entry of a target."""
+        """Parse the entry of a target."""
 
 
 class Membership:
     """
-    Applies changes of the store to what this gateway believes.
-
-    Guards that a target that leaves gets no more work, and that one whose entry
-    lapsed in an outage is only given up once it had the time to return.
+    Applies changes of the store to this gateway's configuration, targets and peers.
+
+    A target that is leaving gets no more work. A target whose entry expired during an
+    outage of the store is removed only after it had time to register again.
+
+    :ivar gateways_by_name: entries of all gateways in the store.
+    :ivar is_known: whether all keys were read at least once.
+    :ivar on_changed: called after changes were applied.
+    :ivar on_first_read: called when all keys were read for the first time.
+    :ivar on_leader: called with changes of the leader key.
+    :ivar on_gone: called with the id of a target that was removed or restarted.
+    :ivar on_life_ended: called with a target that was removed or restarted, as last
+        known, and with the sign of its end.
+    :ivar on_suspects: called with changes of stored suspects.
+    :ivar on_usage: called with changes of the usage key.
     """
 
     def __init__(
@@ -59,26 +70,26 @@
         log: Log,
     ) -> None:
         """
-        Start without knowledge.
+        Start without any entries.
 
-        :param tables: take the configuration.
-        :param fleet: takes targets.
+        :param tables: receive the configuration.
+        :param fleet: receives the targets.
         :param age: of the configuration in force.
-        :param documents: reads the store's documents.
-        :param settings: how long lapsed entries take to return.
+        :param documents: parses the store's documents.
+        :param settings: how long targets and gateways may take to register again.
         :param timers: the timer service.
-        :param log: where events go.
+        :param log: receives the events.
         """
-        self._tables = tables
+        self._routing_tables = tables
         self._fleet = fleet
-        self._age = age
-        self._ended = EndedTargets()
+        self._configuration_age = age
+        self._ended_targets = EndedTargets()
         self._epoch = 0
         self._documents = documents
         self._settings = settings
         self._timers = timers
         self._log = log
-        # Digests of entries that cannot be read, so that each is logged once.
+        # Digests of invalid entries, so that each is logged only once.
         self._unreadable_by_id: dict[str, int] = {}
         self.gateways_by_name: dict[str, GatewayEntry] = {}
         self.is_known = False
@@ -91,12 +102,12 @@
         self.on_usage: Callable[[Change], None] = lambda change: None
 
     def address_of(self, gateway: str) -> str | None:
-        """Tell where a gateway takes datagrams; ``None`` if it is not listed."""
+        """Return a gateway's address for datagrams; ``None`` if it is not listed."""
         entry = self.gateways_by_name.get(gateway)
         return entry.address if entry is not None else None
 
     def key_changed(self, change: Change) -> None:
-        """Take one change of a key."""
+        """Apply one change of a key."""
         self._epoch = epoch_of(change.revision)
         if change.key == self._documents.configuration_key:
             if change.value is not None:
@@ -112,21 +123,23 @@
         elif change.key == USAGE_KEY:
             self.on_usage(change)
 
-    def changes_told(self) -> None:
-        """Let others act on what has changed."""
+    def changes_delivered(self) -> None:
+        """Report that changes were applied."""
         self.on_changed()
 
-    def keys_read(self, keys: frozenset[str], asked_at: float, epoch: int) -> None:
-        """Learn that all keys were read."""
+    def snapshot_delivered(
+        self, keys: frozenset[str], requested_at: float, epoch: int
+    ) -> None:
+        """Remove or mark what a full read of the store no longer lists."""
         self._epoch = epoch
-        self._expect_gateways_again()
+        self._schedule_gateway_cleanup()
         if self._documents.configuration_key in keys:
-            self._age.proven(asked_at, epoch)
+            self._configuration_age.proven(requested_at, epoch)
         prefix = self._documents.target_prefix
         listed = {key.removeprefix(prefix) for key in keys if key.startswith(prefix)}
         for target_id in list(self._fleet.targets_by_id):
             if target_id not in listed:
-                self._target_missing(target_id)
+                self._mark_missing(target_id)
         for target_id in self._unreadable_by_id.keys() - listed:
             del self._unreadable_by_id[target_id]
         for name in list(self.gateways_by_name):
@@ -144,19 +157,19 @@
         if isinstance(found, Err):
             detail = str(found.err_value)
             self._log.write(LogEvent.CONFIGURATION_UNREADABLE, detail=detail)
-            self._age.read(is_readable=False)
+            self._configuration_age.read(is_readable=False)
             return
-        self._age.read(is_readable=True)
+        self._configuration_age.read(is_readable=True)
         table = found.ok_value
-        before = self._tables.table
-        if not self._tables.offer(table):
+        previous = self._routing_tables.table
+        if not self._routing_tables.offer(table):
             return
         models = {name: item.engine for name, item in table.services_by_name.items()}
         self._fleet.set_models(models)
         self._log.write(
             LogEvent.CONFIGURATION_ADOPTED,
             version=table.version,
-            before=before.version if before else 0,
+            before=previous.version if previous else 0,
             routes=len(table.routes_by_name),
         )
 
@@ -164,30 +177,36 @@
         target_id = change.key.removeprefix(self._documents.target_prefix)
         if change.value is None:
             self._unreadable_by_id.pop(target_id, None)
-            self._target_gone(target_id, "removed")
+            self._remove_target(target_id, "removed")
             return
         found = self._documents.read_target(change.key, change.value)
         if isinstance(found, Err):
-            self._target_unreadable(target_id, change.value, str(found.err_value))
+            self._reject_entry(target_id, change.value, str(found.err_value))
             return
         self._unreadable_by_id.pop(target_id, None)
         target = found.ok_value
-        known = self._fleet.targets_by_id.get(target_id)
-        is_news = known is None or known.target != target
-        before = known.target.born if known is not None else target.born
-        is_older = self._ended.is_outdated(target, self._epoch, self._timers.now())
-        if target.born < before or is_older:
-            self._tell_life(LogEvent.TARGET_OUTDATED, target, before, change)
+        previous = self._fleet.targets_by_id.get(target_id)
+        is_changed = previous is None or previous.target != target
+        previous_born = previous.target.born if previous is not None else target.born
+        is_stale = self._ended_targets.is_outdated(
+            target, self._epoch, self._timers.now()
+        )
+        if target.born < previous_born or is_stale:
+            self._log_life_change(
+                LogEvent.TARGET_OUTDATED, target, previous_born, change
+            )
             return
         self._fleet.put(target)
         if target.is_leaving:
-            self._ended.leaving(target, self._epoch)
-        if target.born > before:
-            self._tell_life(LogEvent.TARGET_RESTARTED, target, before, change)
+            self._ended_targets.leaving(target, self._epoch)
+        if target.born > previous_born:
+            self._log_life_change(
+                LogEvent.TARGET_RESTARTED, target, previous_born, change
+            )
             self.on_gone(target_id)
-            if known is not None:
-                self.on_life_ended(known.target, "started again")
-        if is_news:
+            if previous is not None:
+                self.on_life_ended(previous.target, "started again")
+        if is_changed:
             self._log.write(
                 LogEvent.TARGET_LISTED,
                 target=target_id,
@@ -199,33 +218,34 @@
                 revision=change.revision,
             )
 
-    def _tell_life(
-        self, event: LogEvent, target: Target, before: int, change: Change
+    def _log_life_change(
+        self, event: LogEvent, target: Target, previous_born: int, change: Change
     ) -> None:
-        """Log an entry of another life than the one known so far."""
+        """Log an outdated entry, or the entry of a restarted target."""
         self._log.write(
             event,
             target=target.target_id,
             born=target.born,
-            before=before,
+            before=previous_born,
             revision=change.revision,
         )
 
-    def _target_unreadable(self, target_id: str, document: bytes, detail: str) -> None:
+    def _reject_entry(self, target_id: str, document: bytes, detail: str) -> None:
         """
-        Keep an entry that names no target from use, and say so once for each content.
+        Ignore an invalid entry and log it once for each content.
 
-        A target that was known under this name may write its own entry again.
+        A target known under this name is marked missing rather than removed, since it
+        may write its own entry again.
         """
         digest = xxhash.xxh3_64_intdigest(document)
         if self._unreadable_by_id.get(target_id) != digest:
             self._unreadable_by_id[target_id] = digest
             self._log.write(LogEvent.TARGET_UNREADABLE, target=target_id, detail=detail)
         if target_id in self._fleet.targets_by_id:
-            self._target_missing(target_id)
+            self._mark_missing(target_id)
 
-    def _target_missing(self, target_id: str) -> None:
-        """Keep a target from work until it is back, or for good."""
+    def _mark_missing(self, target_id: str) -> None:
+        """Give a target no work until it is listed again; remove it if it is not."""
         estimate = self._fleet.targets_by_id[target_id]
         if estimate.missing_since is not None:
             return
@@ -233,22 +253,22 @@
         estimate.missing_since = now
         self._log.write(LogEvent.TARGET_MISSING, target=target_id)
         self._timers.call_later(
-            self._settings.return_time, lambda: self._give_up(target_id)
+            self._settings.return_time, lambda: self._remove_if_missing(target_id)
         )
 
-    def _give_up(self, target_id: str) -> None:
+    def _remove_if_missing(self, target_id: str) -> None:
         estimate = self._fleet.targets_by_id.get(target_id)
         if estimate is not None and estimate.missing_since is not None:
-            self._target_gone(target_id, "missing")
+            self._remove_target(target_id, "missing")
             self.on_changed()
 
-    def _target_gone(self, target_id: str, reason: str) -> None:
+    def _remove_target(self, target_id: str, reason: str) -> None:
         estimate = self._fleet.remove(target_id)
         if estimate is None:
             return
-        # Work that still refers to it must not choose it again.
+        # Requests that still refer to the estimate must not choose the target again.
         estimate.missing_since = self._timers.now()
-        self._ended.ended(estimate.target, self._epoch, self._timers.now())
+        self._ended_targets.ended(estimate.target, self._epoch, self._timers.now())
         self._log.write(LogEvent.TARGET_GONE, target=target_id, reason=reason)
         self.on_gone(target_id)
         self.on_life_ended(estimate.target, "no longer listed")
@@ -256,7 +276,7 @@
     def _gateway_changed(self, change: Change) -> None:
         name = change.key.removeprefix(GATEWAY_PREFIX)
         if change.value is None:
-            self._forget_gateway(name)
+            self._remove_gateway(name)
             return
         entry = read_entry(change.key, change.value, GatewayEntry, self._log)
         if entry is None:
@@ -265,24 +285,27 @@
             self._log.write(LogEvent.PEER_LISTED, peer=name, listed=True)
         self.gateways_by_name[name] = entry
 
-    def _forget_gateway(self, name: str) -> None:
+    def _remove_gateway(self, name: str) -> None:
         if self.gateways_by_name.pop(name, None) is not None:
             self._log.write(LogEvent.PEER_LISTED, peer=name, listed=False)
 
-    def _expect_gateways_again(self) -> None:
+    def _schedule_gateway_cleanup(self) -> None:
         """
-        Forget gateways that list themselves no more after the store was restored.
+        Remove gateways that do not register again after the store was restored.
 
-        The copy may list some whose leases are gone, so that nothing removes them.
+        The copy may list gateways whose leases are gone, so the store never removes
+        their entries.
         """
-        if any(self._is_copied(entry) for entry in self.gateways_by_name.values()):
-            self._timers.call_later(self._settings.lease, self._forget_copied_gateways)
+        if any(
+            self._predates_restore(entry) for entry in self.gateways_by_name.values()
+        ):
+            self._timers.call_later(self._settings.lease, self._remove_stale_gateways)
 
-    def _is_copied(self, entry: GatewayEntry) -> bool:
+    def _predates_restore(self, entry: GatewayEntry) -> bool:
         return entry.epoch < self._epoch
 
-    def _forget_copied_gateways(self) -> None:
+    def _remove_stale_gateways(self) -> None:
         for name, entry in list(self.gateways_by_name.items()):
-            if self._is_copied(entry):
-                self._forget_gateway(name)
+            if self._predates_restore(entry):
+                self._remove_gateway(name)
         self.on_changed()
--- a/pimentolink/registration.py
+++ b/pimentolink/registration.py
@@ -1,4 +1,4 @@
-"""Keeps this gateway's entry in the store, so that the others find it."""
+"""Registers this gateway in the store, so that other gateways can find it."""
 
 from __future__ import annotations
 
@@ -17,20 +17,21 @@
 from pimentolink.timers import Timers, in_background, pause
 
 GATEWAY_PREFIX = "pimentolink/gateways/"
-# Seconds between two renewals of the lease. They also tell whether the store answers: a
-# watch that it forgot in an outage looks like one without news, and configurations came
-# in force up to 20 s late. A renewal costs a tenth of a read.
+# Seconds between two renewals of the lease. Renewals also detect outages of the store:
+# a watch that the store dropped in an outage looks like one without changes, and
+# without this check configurations took effect up to 20 s late. A renewal costs a tenth
+# of a read.
 RENEWAL_INTERVAL = 1.0
 
 
 class GatewayEntry(msgspec.Struct):
     """
-    What a gateway tells of itself.
+    A gateway's entry in the store.
 
-    :ivar address: for datagrams of the others.
-    :ivar life: of the process.
-    :ivar data_centre: where it stands.
-    :ivar epoch: of the store that it was written to.
+    :ivar address: where the gateway receives datagrams from other gateways.
+    :ivar life: identifies the process; a restarted gateway has another one.
+    :ivar data_centre: where the gateway runs.
+    :ivar epoch: of the store when the entry was written.
     """
 
     address: Address
@@ -41,10 +42,18 @@
 
 class Registration:
     """
-    An entry under a lease, written anew when the lease was lost.
-
-    Its renewals are the gateway's check that the store answers: ``on_store_back`` is
-    called at the first one that does after one that did not.
+    Keeps this gateway's entry under a lease and writes it again if the lease is lost.
+
+    The renewals also check that the store responds: ``on_store_back`` is called when
+    the store responds again after it failed to.
+
+    :ivar is_answered: whether the store responded to the last attempt to renew the
+        lease or to write the entry.
+    :ivar lease: id of the lease; 0 without one.
+    :ivar on_renewed: called after the lease was granted or renewed, with the time at
+        which the request was sent, in seconds of
+        :meth:`~pimentolink.timers.Timers.boot_time`.
+    :ivar on_lost: called when the lease has ended.
     """
 
     def __init__(
@@ -57,14 +66,14 @@
         log: Log,
     ) -> None:
         """
-        Prepare.
+        Create a registration; :meth:`start` makes the first call.
 
         :param settings: name and address of this gateway.
-        :param life: of this process.
+        :param life: identifies this process.
         :param keyspace: the store.
         :param timers: the timer service.
-        :param random: seeded source for jitter.
-        :param log: where events go.
+        :param random: seeded source of jitter.
+        :param log: receives the events.
         """
         self._settings = settings
         self._keyspace = keyspace
@@ -74,41 +83,39 @@
         self._backoff = Backoff(store.backoff_first, store.backoff_most, random)
         self._life = life
         self._key = GATEWAY_PREFIX + settings.instance
-        self._running: Deferred[None] | None = None
-        # Whether the store answered the last call for this entry.
+        self._loop: Deferred[None] | None = None
         self.is_answered = True
         self.lease = 0
         self.on_store_back: Callable[[], None] = lambda: None
-        # Called with the boot-clock time, in seconds, at which the renewal was sent.
-        self.on_renewed: Callable[[float], None] = lambda asked_at: None
+        self.on_renewed: Callable[[float], None] = lambda requested_at: None
         self.on_lost: Callable[[], None] = lambda: None
 
     def start(self) -> None:
-        """Write the entry and keep it."""
-        self._running = in_background(self._keep())
+        """Write the entry and keep renewing its lease."""
+        self._loop = in_background(self._run())
 
     def stop(self) -> None:
-        """Let the others know that this gateway is gone."""
-        if self._running is not None:
-            self._running.cancel()
+        """Stop renewing and revoke the lease, which removes the entry."""
+        if self._loop is not None:
+            self._loop.cancel()
         if self.lease:
-            ending = self._keyspace.end(self.lease)
-            # Without an answer the lease runs out by itself.
-            ending.addErrback(lambda failure: failure.trap(KeyValueUnavailable))
+            revocation = self._keyspace.end(self.lease)
+            # If the store does not respond, the lease expires by itself.
+            revocation.addErrback(lambda failure: failure.trap(KeyValueUnavailable))
 
     def check(self) -> None:
-        """Renew now: the lease may have ended during a freeze."""
-        if self._running is not None:
-            self._running.cancel()
+        """Renew now, since the lease may have ended while the process was frozen."""
+        if self._loop is not None:
+            self._loop.cancel()
             self.start()
 
-    async def _keep(self) -> None:
+    async def _run(self) -> None:
         while True:
             try:
-                asked_at = self._timers.boot_time()
-                await self._step()
-                self._answered()
-                self.on_renewed(asked_at)
+                requested_at = self._timers.boot_time()
+                await self._renew_or_register()
+                self._record_response()
+                self.on_renewed(requested_at)
                 await pause(self._timers, RENEWAL_INTERVAL)
             except LeaseLost as failure:
                 self._log.write(
@@ -118,24 +125,24 @@
                 self.on_lost()
                 await pause(self._timers, self._backoff.next())
             except KeyValueUnavailable as failure:
-                self._unanswered(failure)
+                self._record_outage(failure)
                 await pause(self._timers, self._backoff.next())
 
-    def _answered(self) -> None:
+    def _record_response(self) -> None:
         self._backoff.reset()
         if not self.is_answered:
             self.is_answered = True
             self._log.write(LogEvent.RENEWAL_ANSWERED, lease=self.lease)
             self.on_store_back()
 
-    def _unanswered(self, failure: KeyValueUnavailable) -> None:
+    def _record_outage(self, failure: KeyValueUnavailable) -> None:
         if self.is_answered:
             self.is_answered = False
             self._log.write(
                 LogEvent.RENEWAL_UNANSWERED, lease=self.lease, detail=failure.detail
             )
 
-    async def _step(self) -> None:
+    async def _renew_or_register(self) -> None:
         if self.lease:
             await self._keyspace.renew(self.lease)
             return
--- a/tests/test_keyspace.py
+++ b/tests/test_keyspace.py
@@ -1,4 +1,4 @@
-"""One suite over the store in memory and over the platform's HTTP interface."""
+"""Runs the same tests on the in-memory store and on the platform's HTTP interface."""
 
 import threading
 
@@ -23,32 +23,32 @@
         yield fleet
 
 
-class Store:
-    """A store's calls, made from the test's thread."""
+class BlockingStore:
+    """Calls a store from the test's thread and waits for the result."""
 
     def __init__(self, keyspace, faults):
         self.keyspace = keyspace
         self.fault = faults
 
     def __getattr__(self, name):
-        def made(*arguments):
+        def call_and_wait(*arguments):
             done = threading.Event()
-            outcome = []
+            results = []
 
-            async def wait():
+            async def perform():
                 return await getattr(self.keyspace, name)(*arguments)
 
             def begin():
-                pending = Deferred.fromCoroutine(wait())
-                pending.addBoth(outcome.append).addBoth(lambda _: done.set())
+                pending = Deferred.fromCoroutine(perform())
+                pending.addBoth(results.append).addBoth(lambda _: done.set())
 
             reactor.callFromThread(begin)
             assert done.wait(10)
-            if hasattr(outcome[0], "raiseException"):
-                outcome[0].raiseException()
-            return outcome[0]
+            if hasattr(results[0], "raiseException"):
+                results[0].raiseException()
+            return results[0]
 
-        return made
+        return call_and_wait
 
 
 class MemoryFaults:
@@ -96,11 +96,11 @@
     timers = ReactorTimers(reactor)
     if request.param == "memory":
         keyspace = MemoryKeyspace(timers)
-        return Store(keyspace, MemoryFaults(keyspace))
+        return BlockingStore(keyspace, MemoryFaults(keyspace))
     service = request.getfixturevalue("service")
     settings = StoreSettings(address=service.address("store"), timeout=0.5)
     keyspace = PlatformStore(reactor, settings, ConnectionSettings(), timers)
-    return Store(keyspace, HttpFaults(service))
+    return BlockingStore(keyspace, HttpFaults(service))
 
 
 @pytest.fixture
@@ -173,19 +173,19 @@
 class TestGuards:
     def test_write_is_made_only_while_the_other_key_is_as_told(self, store, key):
         guard = store.write(Write(f"{key}/guard", b"g", 0))
-        told = Write(key, b"one", 0, guard=(f"{key}/guard", guard))
-        first = store.write(told)
+        guarded = Write(key, b"one", 0, guard=(f"{key}/guard", guard))
+        first = store.write(guarded)
         assert first > guard
         store.write(Write(f"{key}/guard", b"h", guard))
-        assert store.write(told._replace(value=b"two", expected=first)) is None
+        assert store.write(guarded._replace(value=b"two", expected=first)) is None
         assert store.read(key).value == b"one"
 
 
 class TestRestore:
     """
-    The store comes back from an older copy of itself. What was written since is gone,
-    and its counters go back, so that the same revisions and leases are given out
-    again for other things.
+    The store is restored from an older copy of itself. Later writes are lost and its
+    counters go back, so it issues the same revisions and leases again for other
+    writes. These must not be confused with those from before the restore.
     """
 
     def test_revisions_rise_all_the_same(self, store, key):
--- a/tests/test_keyspacestore.py
+++ b/tests/test_keyspacestore.py
@@ -1,4 +1,4 @@
-"""Leases and lost history of the key-value port over a keyspace, in virtual time."""
+"""Leases, watches and lost history of ``KeyspaceStore``, in virtual time."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 class Processes:
-    """Two processes before one keyspace."""
+    """Two processes that share one keyspace."""
 
     def __init__(self):
         self.timers = ManualTimers()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""What a gateway believes of targets and configuration, from the store."""
+"""How a gateway applies targets, gateways and configuration from the store."""
 
 import json
 from random import Random
@@ -25,7 +25,7 @@
 
 
 def entry(**changes):
-    told = {
+    fields = {
         "service": "s",
         "address": "10.0.0.1:80",
         "zone": "north",
@@ -33,7 +33,7 @@
         "state": "ready",
         "sequence": 3,
     }
-    return json.dumps({**told, **changes}).encode()
+    return json.dumps({**fields, **changes}).encode()
 
 
 def configuration(version, *prefixes):
@@ -51,12 +51,12 @@
     return json.dumps({"version": version, "routes": routes, "services": []}).encode()
 
 
-def told(capfd):
+def captured_output(capfd):
     return "".join(capfd.readouterr())
 
 
 class World:
-    """A store, a follower and what it makes a gateway believe."""
+    """A store, its follower and the gateway state that the follower updates."""
 
     def __init__(self):
         self.timers = ManualTimers()
@@ -83,7 +83,7 @@
         self.follower.start()
 
     def usable(self):
-        # The next watch begins after the time in which changes are gathered.
+        # The follower waits for ``gather`` seconds between changes and the next watch.
         self.timers.advance(0.3)
         now = self.timers.now()
         return {item.target.target_id for item in self.fleet.usable("s", now)}
@@ -161,11 +161,14 @@
             world.timers.advance(0.3)
         world.follower.restart()
         world.timers.advance(3.0)
-        assert told(capfd).count("E1103") == 2
+        assert captured_output(capfd).count("E1103") == 2
 
 
 class TestRestartUnderTheSameName:
-    """Pattern: an engine starts again and keeps its name."""
+    """
+    An engine restarts and keeps its name. What the gateway estimated for the earlier
+    process (load, cached prompts, failures) must not carry over to the new one.
+    """
 
     @pytest.fixture
     def estimate(self, world):
@@ -312,8 +315,9 @@
 
 class TestRestoredStore:
     """
-    The store comes back from a copy some seconds old. It lists targets again whose
-    leaving or end this gateway had learned, and forgot gateways and a configuration.
+    The store is restored from a copy that is some seconds old. It lists targets again
+    that this gateway saw leaving or removed, and lacks later gateways and a later
+    configuration.
     """
 
     def restore(self, world, copy):
@@ -371,8 +375,8 @@
 
     def test_gateway_that_only_the_copy_lists_is_forgotten(self, world):
         def list_itself(name):
-            told = {"address": "10.0.0.1:7", "life": "x", "epoch": world.store.epoch}
-            world.store.put(f"pimentolink/gateways/{name}", json.dumps(told).encode())
+            fields = {"address": "10.0.0.1:7", "life": "x", "epoch": world.store.epoch}
+            world.store.put(f"pimentolink/gateways/{name}", json.dumps(fields).encode())
 
         for name in ("g1", "g2", "g3"):
             list_itself(name)
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -1,4 +1,4 @@
-"""A gateway's own entry, whose renewals tell whether the store answers."""
+"""Registration of a gateway, whose renewals detect outages of the store."""
 
 from random import Random
 
@@ -14,15 +14,15 @@
 from tests.gatewayparts import gateway_settings
 
 
-class ForgetfulStore:
-    """A store that, while silent, answers nothing and forgets who watches."""
+class WatchDroppingStore:
+    """A store that, while silent, does not respond and drops all watches."""
 
     def __init__(self, timers):
         self._timers = timers
-        self._keys = MemoryKeyspace(timers)
+        self._keyspace = MemoryKeyspace(timers)
         self._watches = []
         self.is_silent = False
-        self.put = self._keys.put
+        self.put = self._keyspace.put
         self.epoch = 0
 
     def silence(self):
@@ -32,30 +32,31 @@
         self._watches = []
 
     def changes(self, prefix, after, wait):
-        told = Deferred()
+        response = Deferred()
         if not self.is_silent:
-            watch = self._keys.changes(prefix, after, wait)
-            # A watch that is forgotten tells its caller nothing.
-            watch.addCallbacks(told.callback, lambda _: None)
+            watch = self._keyspace.changes(prefix, after, wait)
+            # A dropped watch does not fail; its caller sees no response until it times
+            # out.
+            watch.addCallbacks(response.callback, lambda _: None)
             self._watches.append(watch)
-        lost = KeyValueUnavailable("no answer")
-        timer = self._timers.call_later(wait + 1, lambda: told.errback(lost))
-        return told.addBoth(lambda found: (timer.cancel(), found)[1])
+        unavailable = KeyValueUnavailable("no answer")
+        timer = self._timers.call_later(wait + 1, lambda: response.errback(unavailable))
+        return response.addBoth(lambda result: (timer.cancel(), result)[1])
 
     def __getattr__(self, name):
         def call(*arguments):
             if not self.is_silent:
-                return getattr(self._keys, name)(*arguments)
-            told = Deferred()
-            lost = KeyValueUnavailable("no answer")
-            self._timers.call_later(1.0, lambda: told.errback(lost))
-            return told
+                return getattr(self._keyspace, name)(*arguments)
+            response = Deferred()
+            unavailable = KeyValueUnavailable("no answer")
+            self._timers.call_later(1.0, lambda: response.errback(unavailable))
+            return response
 
         return call
 
 
 class Listener:
-    """Remembers when it learned of each key."""
+    """Records when it first received each key."""
 
     def __init__(self, timers):
         self._timers = timers
@@ -64,17 +65,17 @@
     def key_changed(self, change):
         self.known_at.setdefault(change.key, self._timers.now())
 
-    def changes_told(self):
+    def changes_delivered(self):
         pass
 
-    def keys_read(self, keys, asked_at, epoch):
+    def snapshot_delivered(self, keys, requested_at, epoch):
         pass
 
 
 class World:
     def __init__(self):
         self.timers = ManualTimers()
-        self.store = ForgetfulStore(self.timers)
+        self.store = WatchDroppingStore(self.timers)
         self.listener = Listener(self.timers)
         settings = gateway_settings()
         self.follower = KeyspaceFollower(
@@ -112,16 +113,21 @@
         assert world.listener.known_at["op/config"] - back_at < 2.5
 
     def test_outage_costs_renewals_only(self, world):
-        """Pattern: the store turns some gateways away for seconds, call by call."""
+        """
+        The store rejects each call of a gateway for some seconds. The follower must not
+        keep retrying its reads meanwhile, since each one costs a call.
+        """
         read = []
-        read_all = world.store._keys.read_all
-        world.store._keys.read_all = lambda prefix: read.append(1) or read_all(prefix)
+        read_all = world.store._keyspace.read_all
+        world.store._keyspace.read_all = lambda prefix: (
+            read.append(1) or read_all(prefix)
+        )
         world.follower.may_ask = lambda: world.registration.is_answered
         world.timers.advance(3.3)
-        world.store._keys.set_down(True)
+        world.store._keyspace.set_down(True)
         world.timers.advance(10.0)
         assert len(read) <= 2
-        world.store._keys.set_down(False)
+        world.store._keyspace.set_down(False)
         world.timers.advance(2.0)
         assert world.follower.is_connected
 
