--- a/pimentolink/configuration.py
+++ b/pimentolink/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: its types, its checks and its adoption."""
+"""The operators' configuration: its types, validation and comparison."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, omit_defaults=True
 ):
     """
-    A kind of work.
+    A kind of work, which sets the priority and timeout of requests.
 
     :ivar priority: 0 (most urgent) to 9.
-    :ivar patience: seconds after which its requests are given up.
+    :ivar patience: seconds after which a request times out.
     """
 
     priority: Priority
@@ -37,8 +37,8 @@
     """
     A model.
 
-    :ivar version: the version that engines run.
-    :ivar adapters: names of the adapters that engines load.
+    :ivar version: version that the engines run.
+    :ivar adapters: names of the adapters that the engines load.
     """
 
     version: str
@@ -51,12 +51,12 @@
     """
     A service.
 
-    :ivar kind: ``model`` for engines, ``plain`` for other services.
+    :ivar kind: ``model`` for a service of engines, ``plain`` for any other.
     :ivar targets: names of its targets.
     :ivar models: names of the models that it runs.
-    :ivar work: kind of work of a request that names none.
+    :ivar work: default kind of work of its requests.
     :ivar repeatable: whether its calls may be repeated.
-    :ivar claim_partitions: parts that the claims of its calls are spread over.
+    :ivar claim_partitions: number of partitions for the claims of its calls.
     :ivar older_share: share of its requests that the older system serves.
     """
 
@@ -75,11 +75,11 @@
     """
     A target.
 
-    :ivar data_centre: where it stands.
-    :ivar checks_fencing: whether it refuses an order with an old fencing number.
-    :ivar orders_from: who gives it orders: this system or the older one.
-    :ivar role: what an engine starts as.
-    :ivar drained: whether operators keep it from new work.
+    :ivar data_centre: data centre of the target.
+    :ivar checks_fencing: whether it rejects orders with an outdated fencing token.
+    :ivar orders_from: system that gives it orders: this one or the older one.
+    :ivar role: initial role of an engine.
+    :ivar drained: whether operators exclude it from new requests.
     """
 
     data_centre: str
@@ -95,7 +95,7 @@
     """
     A data centre.
 
-    :ivar region: data centres of one region are planned together.
+    :ivar region: region of the data centre; roles of engines are planned per region.
     """
 
     region: str
@@ -105,7 +105,7 @@
     Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, omit_defaults=True
 ):
     """
-    What a site runs, as operators wrote it.
+    The configuration of a site, as written by operators.
 
     :ivar site: name of the site.
     :ivar data_centres: data centres by name.
@@ -113,7 +113,7 @@
     :ivar models: models by name.
     :ivar services: services by name.
     :ivar targets: targets by name.
-    :ivar older_system: address of the older system, while it still runs.
+    :ivar older_system: address of the older system, if it is still in use.
     """
 
     site: str
@@ -126,20 +126,20 @@
 
     def region_of(self, data_centre: str) -> str:
         """
-        Find the region of a data centre.
+        Return the region of a data centre.
 
-        :param data_centre: its name.
-        :returns: the region's name; empty if the data centre is unknown.
+        :param data_centre: name of the data centre.
+        :returns: name of the region; empty if the data centre is unknown.
         """
         found = self.data_centres.get(data_centre)
         return found.region if found is not None else ""
 
     def service_of_model(self, model: str) -> str | None:
         """
-        Find the service that runs a model.
+        Return the service that runs a model.
 
-        :param model: the model's name.
-        :returns: the service's name, or ``None``.
+        :param model: name of the model.
+        :returns: name of the service; ``None`` if no service runs the model.
         """
         for name, service in self.services.items():
             if model in service.models:
@@ -151,13 +151,14 @@
     Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, omit_defaults=True
 ):
     """
-    A configuration as it stands in the key-value service.
-
-    :ivar version: one more than the version it replaced.
-    :ivar change_id: identity of the change, by which its writer recognises it.
-    :ivar previous: identity of the change that it replaced; empty for the first.
-    :ivar author: who applied it.
-    :ivar applied_at: when, as ISO 8601.
+    A configuration as stored in the key-value service.
+
+    :ivar version: one more than the version that it replaced.
+    :ivar change_id: unique ID of the change, by which its writer recognises it.
+    :ivar previous: ``change_id`` of the replaced version; empty for the first.
+    :ivar author: who applied the change.
+    :ivar applied_at: time of the change, in ISO 8601 format.
+    :ivar configuration: the configuration itself.
     """
 
     version: int
@@ -170,20 +171,20 @@
 
 def check(merged: dict[str, Any]) -> Result[Configuration, errors.ConfigurationInvalid]:
     """
-    Check a merged configuration as a whole.
+    Validate a merged configuration.
 
-    :param merged: base and overlay as one JSON object.
-    :returns: the configuration, or every fault in it.
+    :param merged: base and overlays, merged into one JSON object.
+    :returns: the configuration, or all errors found in it.
     """
-    problems = list(_problems_of_shape(merged))
+    problems = list(_schema_problems(merged))
     if not problems:
-        problems = list(_problems_of_meaning(msgspec.convert(merged, Configuration)))
+        problems = list(_semantic_problems(msgspec.convert(merged, Configuration)))
     if problems:
         return Err(errors.ConfigurationInvalid(problems))
     return Ok(msgspec.convert(merged, Configuration))
 
 
-_PROBLEM_BY_KEYWORD: dict[str, type[errors.Problem]] = {
+_PROBLEM_TYPE_BY_KEYWORD: dict[str, type[errors.ConfigurationProblem]] = {
     "additionalProperties": errors.KeyUnknown,
     "required": errors.KeyMissing,
     "type": errors.TypeWrong,
@@ -191,20 +192,24 @@
 }
 
 
-def _problems_of_shape(merged: dict[str, Any]) -> Iterator[errors.Problem]:
-    # Imported here: only operators' commands need it, daemons save its memory.
+def _schema_problems(merged: dict[str, Any]) -> Iterator[errors.ConfigurationProblem]:
+    # Imported lazily: only operator commands need it, and daemons save its memory.
     from jsonschema import Draft202012Validator
 
     schema = msgspec.json.schema(Configuration)
-    for fault in Draft202012Validator(schema).iter_errors(merged):
-        path = "".join(f"/{part}" for part in fault.absolute_path)
-        problem = _PROBLEM_BY_KEYWORD.get(str(fault.validator), errors.ValueOutOfRange)
-        yield problem(path, fault.message)
+    for violation in Draft202012Validator(schema).iter_errors(merged):
+        path = "".join(f"/{part}" for part in violation.absolute_path)
+        problem_type = _PROBLEM_TYPE_BY_KEYWORD.get(
+            str(violation.validator), errors.ValueOutOfRange
+        )
+        yield problem_type(path, violation.message)
 
 
-def _problems_of_meaning(configuration: Configuration) -> Iterator[errors.Problem]:
-    yield from _problems_of_assignment(configuration)
-    yield from _problems_of_services(configuration)
+def _semantic_problems(
+    configuration: Configuration,
+) -> Iterator[errors.ConfigurationProblem]:
+    yield from _assignment_problems(configuration)
+    yield from _service_problems(configuration)
     for name, target in configuration.targets.items():
         if target.data_centre not in configuration.data_centres:
             yield errors.ReferenceUnknown(
@@ -221,7 +226,9 @@
         )
 
 
-def _problems_of_assignment(configuration: Configuration) -> Iterator[errors.Problem]:
+def _assignment_problems(
+    configuration: Configuration,
+) -> Iterator[errors.ConfigurationProblem]:
     service_by_target: dict[str, str] = {}
     for name, service in configuration.services.items():
         path = f"/services/{name}/targets"
@@ -241,7 +248,9 @@
             yield errors.TargetUnassigned(f"/targets/{target}", "in no service")
 
 
-def _problems_of_services(configuration: Configuration) -> Iterator[errors.Problem]:
+def _service_problems(
+    configuration: Configuration,
+) -> Iterator[errors.ConfigurationProblem]:
     service_by_model: dict[str, str] = {}
     for name, service in configuration.services.items():
         path = f"/services/{name}"
@@ -272,33 +281,34 @@
     old: dict[str, Any], new: dict[str, Any], path: str = ""
 ) -> Iterator[tuple[str, Any, Any]]:
     """
-    Compare two configurations.
+    Compare two configurations recursively.
 
-    :param old: one JSON object.
-    :param new: the other.
-    :param path: JSON pointer of both.
-    :returns: path, old value and new value of each difference; ``None`` if absent.
+    :param old: old JSON object.
+    :param new: new JSON object.
+    :param path: JSON pointer of both objects.
+    :returns: JSON pointer, old value and new value of each difference; a value is
+        ``None`` if the key is absent.
     """
     for key in sorted(old.keys() | new.keys()):
         before, after = old.get(key), new.get(key)
-        here = f"{path}/{key}"
+        key_path = f"{path}/{key}"
         if isinstance(before, dict) and isinstance(after, dict):
-            yield from differences(before, after, here)
+            yield from differences(before, after, key_path)
         elif before != after:
-            yield here, before, after
+            yield key_path, before, after
 
 
 def read_documents(
     paths: list[str],
 ) -> Result[list[dict[str, Any]], errors.ConfigurationInvalid]:
     """
-    Read a base file and overlays.
+    Read a base file and its overlays.
 
-    :param paths: the base first.
-    :returns: the JSON objects, or every file that is none.
+    :param paths: the base file, followed by the overlays.
+    :returns: the JSON objects, or an error for each file that is invalid.
     """
     documents: list[dict[str, Any]] = []
-    problems: list[errors.Problem] = []
+    problems: list[errors.ConfigurationProblem] = []
     for path in paths:
         try:
             with open(path, encoding="utf-8") as file:
--- a/pimentolink/errors.py
+++ b/pimentolink/errors.py
@@ -1,18 +1,19 @@
-"""Every failure as a type that carries its data."""
+"""Failure types of all components, with their error codes and HTTP statuses."""
 
 from __future__ import annotations
 
-# Seconds after which a caller is asked to return when nothing better is known.
+# Seconds that a caller is told to wait before it retries, if no estimate is available.
 USUAL_PAUSE = 0.3
 
 
 class Failure(Exception):
     """
-    Base of all failures; used as values in a ``Result`` or raised.
+    Base class of all failures; either returned in a ``Result`` or raised.
 
-    :cvar code: stable name that callers and programs match on.
-    :cvar status: HTTP status towards callers.
-    :cvar ran: whether the work may have run; ``False`` promises that it did not.
+    :cvar code: stable error code that clients can match on.
+    :cvar status: HTTP status of the response to the caller.
+    :cvar ran: whether the request may have been executed; ``False`` guarantees that
+        it was not.
     """
 
     code = "internal"
@@ -21,10 +22,10 @@
 
     def __init__(self, detail: str = "", retry_after: float | None = None) -> None:
         """
-        Record what happened.
+        Create a failure.
 
-        :param detail: a sentence for a person.
-        :param retry_after: seconds after which a new try makes sense, if ever.
+        :param detail: human-readable description.
+        :param retry_after: seconds to wait before retrying; ``None`` if unknown.
         """
         super().__init__(detail)
         self.detail = detail
@@ -42,14 +43,14 @@
 
 
 class BodyTooLarge(Failure):
-    """The caller's body is over the limit."""
+    """The request body exceeds the size limit."""
 
     code = "body_too_large"
     status = 413
 
 
 class HeadTooLarge(Failure):
-    """The head of the caller's request is over the limit."""
+    """The request line and headers exceed the size limit."""
 
     code = "head_too_large"
     status = 431
@@ -63,42 +64,42 @@
 
 
 class ModelUnknown(Failure):
-    """No service runs the model."""
+    """No service serves the requested model."""
 
     code = "model_unknown"
     status = 404
 
 
 class ServiceUnknown(Failure):
-    """The configuration names no such service."""
+    """The configuration does not define the service."""
 
     code = "service_unknown"
     status = 404
 
 
 class WorkUnknown(Failure):
-    """The configuration names no such kind of work."""
+    """The configuration does not define the kind of work."""
 
     code = "work_unknown"
     status = 400
 
 
 class IdempotencyKeyMissing(Failure):
-    """A call that may not be repeated came without its key."""
+    """A call that must not be repeated has no idempotency key."""
 
     code = "idempotency_key_missing"
     status = 400
 
 
 class IdempotencyKeyReused(Failure):
-    """The key stands for another call already."""
+    """The idempotency key was already used for a different call."""
 
     code = "idempotency_key_reused"
     status = 422
 
 
 class AlreadyRun(Failure):
-    """The call ran before under this key; its answer is no longer kept."""
+    """The call with this key already ran; its response is no longer kept."""
 
     code = "already_run"
     status = 409
@@ -106,7 +107,7 @@
 
 
 class OutcomeUnknown(Failure):
-    """The call may have run; it is never run again under its key."""
+    """The call may have run; it is never repeated under its idempotency key."""
 
     code = "outcome_unknown"
     status = 502
@@ -114,51 +115,51 @@
 
 
 class NotRun(Failure):
-    """Refused, and certain not to have run."""
+    """The request was refused and is guaranteed not to have run."""
 
     code = "not_run"
     status = 503
 
 
 class Overloaded(NotRun):
-    """A limit or queue is full."""
+    """A queue is full or a limit is reached."""
 
     code = "overloaded"
     status = 429
 
 
 class NoTarget(NotRun):
-    """No target of the service takes work now."""
+    """No target of the service currently accepts requests."""
 
     code = "no_target"
 
 
 class NoConfiguration(NotRun):
-    """No configuration has reached this process yet."""
+    """This process has not received a configuration yet."""
 
     code = "no_configuration"
 
 
 class ConfigurationOutdated(NotRun):
-    """The configuration here may be older than the newest; keys cannot be trusted."""
+    """The local configuration may be outdated, so API keys cannot be trusted."""
 
     code = "configuration_outdated"
 
 
 class ClaimUnavailable(NotRun):
-    """The key-value service does not take claims, so the call was not made."""
+    """The key-value service cannot store claims, so the call was not made."""
 
     code = "claim_unavailable"
 
 
 class ClaimContended(NotRun):
-    """Another sidecar commits the key's partition, so the call was not made here."""
+    """Another sidecar owns the key's claim partition, so the call was not made here."""
 
     code = "claim_contended"
 
 
 class CannotBeInTime(NotRun):
-    """The request could not be answered within the time it has left."""
+    """The request cannot be completed before its deadline."""
 
     code = "cannot_be_in_time"
 
@@ -170,47 +171,48 @@
 
 
 class NotListening(NotConnected):
-    """Nothing listens at a target's address: its process has ended."""
+    """Nothing listens at the target's address: its process has ended."""
 
     code = "not_listening"
 
 
 class Quarantined(NotRun):
-    """Targets crashed while the request was under way there, so it was not sent."""
+    """Targets crashed while processing this request, so it was not sent again."""
 
     code = "quarantined"
 
 
 class ConnectionsExhausted(NotRun):
-    """All connections that a target takes are in use, so nothing was sent."""
+    """All connections to the target are in use, so nothing was sent."""
 
     code = "connections_exhausted"
 
 
 class RejectedUnrun(NotRun):
-    """A target said that it did not run the request."""
+    """The target reported that it did not run the request."""
 
     code = "rejected_unrun"
 
 
 class OtherInstance(NotRun):
-    """Another target has the address now and did not run the request."""
+    """A different target now uses the address and did not run the request."""
 
     code = "other_instance"
 
 
 class Draining(NotRun):
-    """This process takes no new work since it is stopping."""
+    """This process is shutting down and accepts no new requests."""
 
     code = "draining"
 
 
-# A sending that ends so reached no target: it counts as none, and costs no budget.
+# Failures of an attempt that reached no target: it does not count as an attempt and
+# consumes no retry budget.
 UNSENT = (NotListening, Quarantined)
 
 
 class LateAnswer(Failure):
-    """The answer did not come within the request's patience."""
+    """The response did not arrive within the request's timeout."""
 
     code = "timeout"
     status = 504
@@ -218,7 +220,7 @@
 
 
 class TargetFailed(Failure):
-    """The target failed and every permitted retry is used up."""
+    """The target failed and no permitted retry is left."""
 
     code = "target_failed"
     status = 502
@@ -226,18 +228,18 @@
 
 
 class TargetRejected(Failure):
-    """The target found fault with the request itself."""
+    """The target rejected the request as invalid."""
 
     code = "target_rejected"
     status = 400
 
 
-# What another attempt would only be told again: the request itself is at fault.
+# The request itself is at fault, so every further attempt would fail the same way.
 REJECTIONS = (TargetRejected, IdempotencyKeyReused, AlreadyRun)
 
 
 class ConnectionBroken(Failure):
-    """A connection to a target broke during an exchange."""
+    """The connection to the target broke during a request."""
 
     code = "connection_broken"
     status = 502
@@ -245,7 +247,7 @@
 
 
 class ReplyInvalid(Failure):
-    """What a target sent is no answer to the request."""
+    """The target sent an invalid response."""
 
     code = "reply_invalid"
     status = 502
@@ -253,7 +255,7 @@
 
 
 class StreamBroken(Failure):
-    """A stream broke and cannot go on at another target."""
+    """A stream broke and cannot be resumed at another target."""
 
     code = "stream_broken"
     status = 502
@@ -261,34 +263,34 @@
 
 
 class RetryBudgetSpent(NotRun):
-    """The budget of repeated attempts is used up, so none was made."""
+    """The retry budget is used up, so the request was not retried."""
 
     code = "retry_budget_spent"
 
 
 class HistoryLost(Failure):
-    """The store no longer has the changes since a revision."""
+    """The store no longer keeps the changes since the requested revision."""
 
     code = "history_lost"
     status = 410
 
 
 class LeaseLost(Failure):
-    """A lease has ended."""
+    """A lease is no longer valid."""
 
     code = "lease_lost"
     status = 409
 
 
 class RequestTooSlow(Failure):
-    """The caller did not send its whole request in time."""
+    """The caller did not send its complete request in time."""
 
     code = "request_too_slow"
     status = 408
 
 
 class CallerTooSlow(Failure):
-    """The caller left its answer unread until the buffer was full."""
+    """The caller sent its request, or read its response, too slowly."""
 
     code = "caller_too_slow"
     status = 408
@@ -296,7 +298,7 @@
 
 
 class CrossedAnswer(Failure):
-    """A target's answer names another request than the one asked."""
+    """The target's response belongs to a different request."""
 
     code = "crossed_answer"
     status = 502
@@ -304,21 +306,21 @@
 
 
 class LinkLost(Failure):
-    """The connection between an entry and a sidecar ended."""
+    """The connection between an entry and a sidecar was lost."""
 
     code = "link_lost"
     ran = True
 
 
 class OrderRefused(Failure):
-    """An engine refused an order, which had no effect."""
+    """The engine rejected an order, which had no effect."""
 
     code = "order_refused"
     status = 409
 
 
 class OrderLost(Failure):
-    """It is not known whether an order took effect."""
+    """It is unknown whether the order took effect."""
 
     code = "order_lost"
     status = 502
@@ -326,7 +328,7 @@
 
 
 class OrderStuck(Failure):
-    """An engine has been under an order for too long."""
+    """An engine did not complete an order in time."""
 
     code = "order_stuck"
     status = 504
@@ -334,21 +336,21 @@
 
 
 class ReportRefused(Failure):
-    """A usage report was not taken; it may be sent again."""
+    """A usage report was not accepted; it may be sent again."""
 
     code = "report_refused"
     status = 503
 
 
 class Unauthenticated(Failure):
-    """A caller or peer did not prove who it is."""
+    """A caller or peer failed to authenticate."""
 
     code = "unauthenticated"
     status = 401
 
 
 class KeyValueUnavailable(Failure):
-    """The key-value service gave no answer; a write may have taken effect."""
+    """The key-value service did not respond; a write may have taken effect."""
 
     code = "key_value_unavailable"
     status = 503
@@ -356,24 +358,24 @@
 
 
 class WriteConflict(Failure):
-    """A compare-and-swap lost against another write."""
+    """A compare-and-swap failed because of a concurrent write."""
 
     code = "write_conflict"
     status = 409
 
 
 class ConfigurationConflict(WriteConflict):
-    """Another operator's configuration was accepted first."""
+    """Another configuration change was accepted first."""
 
     code = "configuration_conflict"
 
     def __init__(self, version: int, author: str, change_id: str) -> None:
         """
-        Name the change that won.
+        Report the accepted change.
 
-        :param version: version now in force.
+        :param version: current configuration version.
         :param author: who applied it.
-        :param change_id: identity of that change.
+        :param change_id: ID of that change.
         """
         super().__init__(f"version {version} by {author} ({change_id}) is in force")
         self.version = version
@@ -382,31 +384,32 @@
 
 
 class DocumentInvalid(Failure):
-    """A document of the store cannot be read; what was known before stays."""
+    """A document in the store cannot be parsed; its last valid content stays in use."""
 
     code = "document_invalid"
     status = 400
 
 
 class SettingsInvalid(Failure):
-    """A process's settings cannot be used."""
+    """The settings of a process are invalid."""
 
     code = "settings_invalid"
     status = 400
 
 
-class Problem(Failure):
-    """One fault in a configuration, with the path to it."""
+class ConfigurationProblem(Failure):
+    """An error in a configuration, with its location."""
 
     code = "problem"
     status = 400
 
     def __init__(self, path: str, detail: str) -> None:
         """
-        Locate the fault.
+        Create a configuration error.
 
-        :param path: JSON pointer into the merged configuration.
-        :param detail: a sentence for a person.
+        :param path: JSON pointer into the merged configuration; for :class:`NotJson`
+            the path of the file.
+        :param detail: human-readable description.
         """
         super().__init__(detail)
         self.path = path
@@ -415,77 +418,77 @@
         return f"{self.path or '/'}: {self.code}: {self.detail}"
 
 
-class NotJson(Problem):
-    """The file is not a JSON object."""
+class NotJson(ConfigurationProblem):
+    """The file is unreadable or does not contain a JSON object."""
 
     code = "not_json"
 
 
-class KeyUnknown(Problem):
-    """A key that the format does not have."""
+class KeyUnknown(ConfigurationProblem):
+    """A key that the schema does not define."""
 
     code = "key_unknown"
 
 
-class KeyMissing(Problem):
+class KeyMissing(ConfigurationProblem):
     """A required key is absent."""
 
     code = "key_missing"
 
 
-class TypeWrong(Problem):
-    """A value of another type than the format's."""
+class TypeWrong(ConfigurationProblem):
+    """A value of the wrong type."""
 
     code = "type_wrong"
 
 
-class ValueOutOfRange(Problem):
-    """A value outside its range or in the wrong unit."""
+class ValueOutOfRange(ConfigurationProblem):
+    """A value outside its range, in the wrong unit or otherwise not permitted."""
 
     code = "value_out_of_range"
 
 
-class TargetAssignedTwice(Problem):
-    """A target stands in two services."""
+class TargetAssignedTwice(ConfigurationProblem):
+    """A target is assigned to two services."""
 
     code = "target_assigned_twice"
 
 
-class TargetUnassigned(Problem):
-    """A target stands in no service."""
+class TargetUnassigned(ConfigurationProblem):
+    """A target is not assigned to any service."""
 
     code = "target_unassigned"
 
 
-class ReferenceUnknown(Problem):
-    """A name that the configuration does not define."""
+class ReferenceUnknown(ConfigurationProblem):
+    """A reference to a name that the configuration does not define."""
 
     code = "reference_unknown"
 
 
-class ServiceWithoutTarget(Problem):
-    """A service without any target."""
+class ServiceWithoutTarget(ConfigurationProblem):
+    """A service without targets."""
 
     code = "service_without_target"
 
 
-class ModelServedTwice(Problem):
-    """A model that two services run, so that requests have no one place."""
+class ModelServedTwice(ConfigurationProblem):
+    """A model that two services run, which makes its routing ambiguous."""
 
     code = "model_served_twice"
 
 
 class ConfigurationInvalid(Failure):
-    """A configuration with faults, all of them listed."""
+    """An invalid configuration, with all of its errors."""
 
     code = "configuration_invalid"
     status = 400
 
-    def __init__(self, problems: list[Problem]) -> None:
+    def __init__(self, problems: list[ConfigurationProblem]) -> None:
         """
-        Collect the faults.
+        Combine the errors found.
 
-        :param problems: every fault found, never empty.
+        :param problems: all errors; never empty.
         """
         super().__init__("; ".join(str(problem) for problem in problems))
         self.problems = problems
--- a/pimentolink/logs.py
+++ b/pimentolink/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: numbered events, one JSON object a line."""
+"""Structured logging: numbered events, written as one JSON object per line."""
 
 from __future__ import annotations
 
@@ -15,307 +15,335 @@
 SECRET_FIELDS = frozenset({"shared_key", "authorization", "body", "idempotency_key"})
 
 
-class _Entry(NamedTuple):
-    """A catalogue entry."""
+class _EventDefinition(NamedTuple):
+    """Number, level and description of a log event."""
 
     number: str
     level: int
     meaning: str
 
 
-class LogEvent(_Entry, enum.Enum):
-    """The catalogue of all events; docs/EVENTS.md is made from it."""
+class LogEvent(_EventDefinition, enum.Enum):
+    """All log events; docs/EVENTS.md is generated from this enum."""
 
-    STARTED = ("E1001", logging.INFO, "The process listens and does its work.")
-    STOPPING = ("E1002", logging.INFO, "A graceful stop began; no new work is taken.")
-    STOPPED = ("E1003", logging.INFO, "The process ended after its work was done.")
+    STARTED = ("E1001", logging.INFO, "The process has started and is listening.")
+    STOPPING = (
+        "E1002",
+        logging.INFO,
+        "A graceful shutdown began; no new requests are accepted.",
+    )
+    STOPPED = ("E1003", logging.INFO, "The process finished its graceful shutdown.")
     STOP_TIMEOUT = (
         "E1004",
         logging.ERROR,
-        "The bound on the graceful stop passed with work still in flight.",
+        "The graceful shutdown timed out with requests still in flight.",
     )
-    RELOADED = ("E1006", logging.INFO, "The settings were read again.")
+    RELOADED = ("E1006", logging.INFO, "The settings were reloaded.")
     SETTINGS_INVALID = (
         "E1007",
         logging.ERROR,
-        "The settings file cannot be used any more; the settings in force stay.",
+        "The settings file is no longer valid; the current settings stay in use.",
     )
     SLOT_TAKEN = (
         "E1005",
         logging.ERROR,
-        "Another sidecar holds this target's slot; this one ends.",
+        "Another sidecar already listens for this target; this process exits.",
     )
     CONFIGURATION_ADOPTED = (
         "E1101",
         logging.INFO,
-        "A newer accepted configuration is in force in this process.",
+        "This process now uses a newer accepted configuration.",
     )
     CONFIGURATION_UNREADABLE = (
         "E1102",
         logging.ERROR,
-        "A document offered as configuration is none; the one in force stays.",
+        "A configuration document is invalid; the current configuration stays in use.",
     )
     TARGET_UNREADABLE = (
         "E1103",
         logging.ERROR,
-        "An entry on the list names no target to use; told once for each content.",
+        "An entry of the target list is invalid; logged once for each content.",
     )
     KEYS_TRUSTED = (
         "E1104",
         logging.INFO,
-        "The configuration is known to be current; requests with API keys are served.",
+        "The configuration is confirmed as current; requests with API keys are served.",
     )
     KEYS_DISTRUSTED = (
         "E1105",
         logging.WARNING,
-        "The configuration may be outdated; requests with API keys are refused.",
+        "The configuration may be outdated; requests with API keys are rejected.",
     )
     KEY_VALUE_LOST = (
         "E1201",
         logging.WARNING,
-        "The key-value service gives no answer; work goes on without it.",
+        "The key-value service does not respond; the process continues without it.",
     )
-    KEY_VALUE_BACK = ("E1202", logging.INFO, "The key-value service answers again.")
+    KEY_VALUE_BACK = ("E1202", logging.INFO, "The key-value service responds again.")
     HISTORY_LOST = (
         "E1204",
         logging.WARNING,
-        "The store no longer keeps the changes since a revision; all is read again.",
+        "The store no longer keeps the requested changes; everything is read again.",
     )
     STORE_RESTORED = (
         "E1218",
         logging.WARNING,
-        "The store came back from an older copy; all is read and written again.",
+        "The store was restored from an older copy; all is read and written again.",
     )
     TARGET_LISTED = (
         "E1205",
         logging.INFO,
-        "A target appeared on the list, or changed there.",
+        "A target was added to the list, or its entry changed.",
     )
     TARGET_GONE = (
         "E1206",
         logging.INFO,
-        "A target left the list; it gets no more work.",
+        "A target was removed from the list; it gets no more requests.",
     )
     TARGET_MISSING = (
         "E1207",
         logging.WARNING,
-        "A target is missing from the list after an outage; it may come back.",
+        "A target is missing from the list after an outage; unused until it returns.",
     )
     TARGET_RESTARTED = (
         "E1214",
         logging.INFO,
-        "A target started again under its name; all that was believed is forgotten.",
+        "A target restarted under the same name; its previous state is discarded.",
     )
     TARGET_OUTDATED = (
         "E1215",
         logging.INFO,
-        "An entry of an earlier life of a target came late and changes nothing.",
+        "An outdated list entry of a target that restarted or ended was ignored.",
+    )
+    LEASE_LOST = (
+        "E1208",
+        logging.WARNING,
+        "A lease of this process is no longer valid.",
     )
-    LEASE_LOST = ("E1208", logging.WARNING, "A lease of this process ended.")
     RENEWAL_UNANSWERED = (
         "E1212",
         logging.WARNING,
-        "A renewal of this gateway's entry had no answer; its watch may be dead too.",
+        "Renewing this gateway's entry got no response; its watch may be broken too.",
     )
     RENEWAL_ANSWERED = (
         "E1213",
         logging.INFO,
-        "A renewal was answered again; the store is read anew.",
+        "A renewal succeeded again; the store is read again.",
     )
-    PEER_LISTED = ("E1209", logging.INFO, "Another gateway appeared or left.")
+    PEER_LISTED = ("E1209", logging.INFO, "Another gateway joined or left.")
     CELL_CHANGED = (
         "E1217",
         logging.INFO,
-        "The deployment is divided into cells anew; in one, gateways tell each other.",
+        "The cells were reassigned; gateways exchange updates within their cell.",
     )
     PEER_MESSAGE_INVALID = (
         "E1210",
         logging.WARNING,
-        "A datagram on the gateways' port is no message of theirs.",
+        "An invalid datagram was received on the port for gateway messages.",
     )
     FROZEN = (
         "E1211",
         logging.WARNING,
-        "This process stood still; what it knows is read again before it is used.",
+        "This process was suspended or blocked; it reloads its state before using it.",
     )
     LIST_LOST = (
         "E1203",
         logging.WARNING,
-        "The list of instances gives no answer; the last one stays in use.",
+        "The instance list does not respond; the last known list stays in use.",
+    )
+    LINK_UP = (
+        "E1301",
+        logging.INFO,
+        "A link between an entry and a sidecar was established.",
+    )
+    LINK_DOWN = (
+        "E1302",
+        logging.WARNING,
+        "A link between an entry and a sidecar was closed or lost.",
     )
-    LINK_UP = ("E1301", logging.INFO, "A link between entry and sidecar is up.")
-    LINK_DOWN = ("E1302", logging.WARNING, "A link between entry and sidecar ended.")
     LINK_REFUSED = (
         "E1303",
         logging.ERROR,
-        "A peer without the shared key was turned away.",
+        "A connection from a peer without the shared key was rejected.",
     )
     LINK_SILENT = (
         "E1304",
         logging.WARNING,
-        "Nothing came over a link for too long; it is ended.",
+        "A link was closed because it received no message for too long.",
     )
     ATTEMPT_FAILED = (
         "E1401",
         logging.WARNING,
-        "An attempt failed; the request goes on if it may.",
+        "An attempt failed; the request is retried if permitted.",
     )
     REQUEST_FAILED = (
         "E1402",
         logging.WARNING,
-        "A request got a final answer other than a whole one.",
+        "A request ended without a complete response.",
     )
     TARGET_EJECTED = (
         "E1403",
         logging.WARNING,
-        "A target failed repeatedly and gets no work for a while.",
+        "A target failed repeatedly and temporarily gets no requests.",
     )
     CHANGE_AWAITED = (
         "E1424",
         logging.INFO,
-        "A request waits for a target that is under a planned change.",
+        "A request waits for a target that undergoes a planned change.",
     )
     LATE_EVENT = (
         "E1404",
         logging.INFO,
-        "An answer for an attempt that is over came in and was dropped.",
+        "A response for an attempt that had already ended was dropped.",
     )
     CACHE_LEARNED = (
         "E1411",
         logging.INFO,
-        "An engine was asked what its memory holds.",
+        "An engine was asked for the contents of its KV cache.",
+    )
+    ANSWERED = (
+        "E1405",
+        logging.INFO,
+        "A request got a complete response from a target.",
     )
-    ANSWERED = ("E1405", logging.INFO, "A request got a target's whole answer.")
     PROMPT_PLACED = (
         "E1406",
         logging.INFO,
-        "A prompt that waited was given to an engine, on the inputs shown.",
+        "A queued prompt was assigned to an engine, based on the inputs shown.",
     )
     PROMPT_REFUSED = (
         "E1407",
         logging.INFO,
-        "A prompt was turned away unread, on the prediction shown.",
+        "A prompt was rejected before its prefill, based on the prediction shown.",
     )
     READING_ENDED = (
         "E1416",
         logging.INFO,
-        "A prompt's reading ended, with the time it took and the time predicted.",
+        "The prefill of a prompt ended; shows the measured and the predicted time.",
     )
     RETRY_DECIDED = (
         "E1423",
         logging.INFO,
-        "The shared retry budget granted or denied a repeated attempt; its inputs.",
+        "The shared retry budget granted or denied a retry, based on the inputs shown.",
     )
     STREAM_RESUMED = (
         "E1408",
         logging.WARNING,
-        "A stream that broke goes on at another target.",
+        "A broken stream was resumed at another target.",
     )
     TARGET_CRASHED = (
         "E1417",
         logging.WARNING,
-        "A target ended unannounced while the requests shown were under way there.",
+        "A target crashed while it was processing the requests shown.",
     )
     SUSPECT_STRUCK = (
         "E1418",
         logging.WARNING,
-        "A request was under way at one more target that crashed; it waits.",
+        "One more target crashed while processing a suspect request; it is delayed.",
     )
     SUSPECT_TRIED = (
         "E1419",
         logging.WARNING,
-        "A request that may crash targets has waited and is sent to one again.",
+        "A request that may crash targets is sent to one again after its delay.",
     )
     SUSPECT_CLEARED = (
         "E1420",
         logging.INFO,
-        "Crashes are held against a request no more: it was answered, or released.",
+        "A request is no longer suspected of crashes: it succeeded or was released.",
     )
     SUSPECTS_STORED = (
         "E1421",
         logging.INFO,
-        "What is held against requests was written for gateways that start later.",
+        "The suspect requests were stored for gateways that start later.",
     )
     SUSPECTS_UNSTORED = (
         "E1422",
         logging.WARNING,
-        "What is held against requests could not be written; it is tried again.",
+        "Storing the suspect requests failed; it will be retried.",
     )
     CALLER_LEFT = (
         "E1409",
         logging.INFO,
-        "A caller closed its connection before its answer was whole.",
+        "A caller closed its connection before its response was complete.",
     )
     WORK_CANCELLED = (
         "E1415",
         logging.INFO,
-        "Work for a caller that left was ended; it was at the last of the targets.",
+        "A request was cancelled as its caller left; it ran at the last target listed.",
     )
     BAD_REQUEST = (
         "E1410",
         logging.WARNING,
-        "What a caller sent is no proper request; its connection is closed.",
+        "A caller sent a malformed request; its connection is closed.",
     )
     CLAIMS_TAKEN_OVER = (
         "E1501",
         logging.INFO,
-        "This sidecar now commits the claims of a partition.",
+        "This sidecar now owns a claim partition and commits its claims.",
     )
     CLAIMS_LOST = (
         "E1502",
         logging.WARNING,
-        "Another sidecar took over a partition of claims; this one stopped using it.",
+        "Another sidecar took over a claim partition; this one stopped using it.",
+    )
+    PLAN_WRITTEN = (
+        "E1600",
+        logging.INFO,
+        "This entry stored a new plan for a group of engines.",
+    )
+    LEADERSHIP_TAKEN = ("E1604", logging.INFO, "This gateway became the leader.")
+    LEADERSHIP_LOST = (
+        "E1605",
+        logging.WARNING,
+        "This gateway is no longer the leader.",
     )
-    PLAN_WRITTEN = ("E1600", logging.INFO, "This entry wrote a new plan for a group.")
-    LEADERSHIP_TAKEN = ("E1604", logging.INFO, "This gateway leads; it may act.")
-    LEADERSHIP_LOST = ("E1605", logging.WARNING, "This gateway leads no more.")
-    ORDER_STARTED = ("E1601", logging.INFO, "An order to the engine began.")
+    ORDER_STARTED = ("E1601", logging.INFO, "An order to the engine was started.")
     ORDER_DONE = ("E1602", logging.INFO, "An order to the engine took effect.")
     ORDER_FAILED = (
         "E1603",
         logging.ERROR,
-        "An order failed; it is tried again as the plan stands then.",
+        "An order failed; it is retried according to the plan at that time.",
     )
     USAGE_COMMITTED = (
         "E1801",
         logging.INFO,
-        "The usage of a window was committed; no other counts are sent for it.",
+        "The usage counts of a window were committed and will not change.",
     )
-    USAGE_REPORTED = ("E1802", logging.INFO, "A report of usage was taken.")
+    USAGE_REPORTED = ("E1802", logging.INFO, "A usage report was accepted.")
     USAGE_UNREPORTED = (
         "E1803",
         logging.WARNING,
-        "A report of usage had no answer or was refused; it is sent again.",
+        "A usage report got no response or was rejected; it will be sent again.",
     )
     USAGE_MISSED = (
         "E1804",
         logging.ERROR,
-        "The usage of a window, or of some up to the last, was not reported in time.",
+        "The usage of one or more windows was not reported in time.",
     )
     UNHANDLED_ERROR = (
         "E1901",
         logging.ERROR,
-        "A fault in this process itself; it should be reported.",
+        "An unhandled error in this process; please report it as a bug.",
     )
-    SPAN_ENDED = ("E1701", logging.INFO, "One hop of a traced request ended.")
+    SPAN_ENDED = ("E1701", logging.INFO, "A span of a traced request ended.")
 
     @property
     def number(self) -> str:
-        """Stable number of the event."""
+        """Stable number of the event, such as ``E1001``."""
         return self.value[0]
 
     @property
     def level(self) -> int:
-        """Level of the standard library's ``logging``."""
+        """Log level, as defined by ``logging``."""
         return self.value[1]
 
     @property
     def meaning(self) -> str:
-        """What it says to an operator."""
+        """Description for operators."""
         return self.value[2]
 
 
-def _hide_secrets(
+def _redact_secrets(
     _logger: Any, _method: str, fields: structlog.types.EventDict
 ) -> structlog.types.EventDict:
     for name in SECRET_FIELDS & fields.keys():
@@ -325,9 +353,9 @@
 
 def configure(level: int = logging.INFO) -> None:
     """
-    Send events to standard error as JSON lines.
+    Write events to standard error as JSON lines.
 
-    :param level: lowest level that is written.
+    :param level: minimum level to write.
     """
     _configure(sys.stderr, level)
 
@@ -337,7 +365,7 @@
         processors=[
             structlog.processors.TimeStamper(fmt="iso"),
             structlog.processors.add_log_level,
-            _hide_secrets,
+            _redact_secrets,
             structlog.processors.JSONRenderer(),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(level),
@@ -346,19 +374,19 @@
     )
 
 
-# Bytes of log lines kept for a reader that is slow; what comes on top is dropped and
-# counted. At 250 bytes a line this is what a busy gateway writes in ten seconds.
+# Maximum bytes of log lines buffered for a slow reader; further lines are dropped and
+# counted. At 250 bytes per line, a busy gateway writes this much in ten seconds.
 MAX_LOG_BYTES = 262_144
 
 
 class BoundedWriter:
-    """A file that never blocks: lines that its reader does not take are dropped."""
+    """A non-blocking writer that drops lines if its reader is too slow."""
 
     def __init__(self, descriptor: int) -> None:
         """
-        Take over a descriptor.
+        Make a descriptor non-blocking and write to it.
 
-        :param descriptor: of a file, pipe or terminal.
+        :param descriptor: file descriptor of a file, pipe or terminal.
         """
         self._descriptor = descriptor
         self._pending = bytearray()
@@ -366,7 +394,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
-        """Write a line, or keep it for the next time."""
+        """Write a line, or buffer it if the reader is not ready."""
         data = text.encode()
         if len(self._pending) + len(data) > MAX_LOG_BYTES:
             self.dropped += 1
@@ -379,31 +407,31 @@
         return len(text)
 
     def flush(self) -> None:
-        """Write what the reader takes."""
+        """Write as much of the buffer as the reader accepts."""
         try:
             written = os.write(self._descriptor, self._pending)
         except BlockingIOError:
             return
         except OSError:
-            # Without a reader there is nobody to tell.
+            # The reader is gone, so the buffered lines are discarded.
             written = len(self._pending)
         del self._pending[:written]
 
 
 def configure_bounded(level: int = logging.INFO) -> None:
     """
-    Send events to standard output as JSON lines, without ever waiting for a reader.
+    Write events to standard output as JSON lines, without blocking on the reader.
 
-    :param level: lowest level that is written.
+    :param level: minimum level to write.
     """
     _configure(BoundedWriter(sys.stdout.fileno()), level)
 
 
 def catch_unhandled(log: Log) -> None:
     """
-    Write the faults that the loop catches as events, instead of losing them.
+    Log errors that nothing else handles, which Twisted would otherwise discard.
 
-    :param log: where they go.
+    :param log: log to write to.
     """
 
     @provider(ILogObserver)
@@ -417,21 +445,21 @@
 
 
 class Log:
-    """Writes events of the catalogue with the fields of one process."""
+    """Writes log events with fields that are common to a process."""
 
     def __init__(self, **fields: Any) -> None:
         """
-        Bind fields.
+        Create a log.
 
-        :param fields: stand on every line.
+        :param fields: fields added to every event.
         """
         self._logger = structlog.get_logger().bind(**fields)
 
     def write(self, event: LogEvent, **fields: Any) -> None:
         """
-        Write one event.
+        Write an event.
 
-        :param event: from the catalogue.
-        :param fields: what happened, typed; failures by their code.
+        :param event: the event.
+        :param fields: JSON-serialisable details; failures are given by their code.
         """
         self._logger.log(event.level, event.name.lower(), number=event.number, **fields)
--- a/pimentolink/metrics.py
+++ b/pimentolink/metrics.py
@@ -1,4 +1,4 @@
-"""Figures of one process: counters and latency histograms."""
+"""Metrics of a process: counters, gauges and latency histograms."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
     Metric,
 )
 
-LONGEST_MICROSECONDS = 3_600_000_000
+MAX_MICROSECONDS = 3_600_000_000
 QUANTILES = (0.5, 0.9, 0.95, 0.99, 0.999)
 
 
 class Metrics:
-    """Collects figures and writes them as Prometheus text."""
+    """Collects metrics and exports them in the Prometheus text format."""
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Register an empty set of metrics."""
         self._count_by_label: Counter[tuple[str, str]] = Counter()
         self._histogram_by_name: dict[str, HdrHistogram] = {}
         self._gauge_by_name: dict[str, Callable[[], float]] = {}
@@ -30,10 +30,11 @@
 
     def count(self, name: str, label: str = "", amount: int = 1) -> None:
         """
-        Add to a counter.
+        Increment a counter.
 
-        :param name: of the counter, without the product's prefix.
-        :param label: tells one outcome from another.
+        :param name: name of the counter, without the prefix ``pimentolink_``.
+        :param label: value of the label ``kind``, such as an outcome.
+        :param amount: number to add.
         """
         self._count_by_label[name, label] += amount
 
@@ -41,29 +42,29 @@
         """
         Record a duration.
 
-        :param name: of the histogram, without prefix and unit.
-        :param seconds: how long it took.
+        :param name: name of the histogram, without prefix and unit.
+        :param seconds: the duration.
         """
         if name not in self._histogram_by_name:
-            self._histogram_by_name[name] = HdrHistogram(1, LONGEST_MICROSECONDS, 2)
+            self._histogram_by_name[name] = HdrHistogram(1, MAX_MICROSECONDS, 2)
         microseconds = max(1, int(seconds * 1e6))
-        self._histogram_by_name[name].record_value(
-            min(microseconds, LONGEST_MICROSECONDS)
-        )
+        self._histogram_by_name[name].record_value(min(microseconds, MAX_MICROSECONDS))
 
     def gauge(self, name: str, read: Callable[[], float]) -> None:
         """
-        Publish a figure that is read when asked for.
+        Register a gauge whose value is read on each export.
 
-        :param name: of the gauge, without the product's prefix.
-        :param read: returns the figure.
+        :param name: name of the gauge, without the prefix ``pimentolink_``.
+        :param read: returns the current value.
         """
         self._gauge_by_name[name] = read
 
     def quantile(self, name: str, quantile: float) -> float:
         """
-        Read a histogram.
+        Estimate a quantile of a histogram.
 
+        :param name: name of the histogram, without prefix and unit.
+        :param quantile: from 0 to 1.
         :returns: seconds; 0 if nothing was recorded.
         """
         histogram = self._histogram_by_name.get(name)
@@ -72,11 +73,11 @@
         return histogram.get_value_at_percentile(quantile * 100) / 1e6
 
     def text(self) -> bytes:
-        """Write everything in Prometheus' text format."""
+        """Export all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def collect(self) -> Iterator[Metric]:
-        """Yield everything to the Prometheus library."""
+        """Yield all metrics; called by the Prometheus client library."""
         counters: dict[str, CounterMetricFamily] = {}
         for (name, label), count in sorted(self._count_by_label.items()):
             family = counters.setdefault(
--- a/pimentolink/settings.py
+++ b/pimentolink/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the processes: one JSON base file and overlays, checked as a whole."""
+"""Settings of the processes, read from a JSON base file and overlays."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 
 class PlatformSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    Where the platform's services are and how patient calls to them are.
+    Addresses of the platform's services, and timeouts and retries of calls to them.
 
     :ivar key_value: address of the key-value service.
-    :ivar instance_list: address of the list of instances.
-    :ivar timeout: seconds until a call counts as unanswered.
-    :ivar watch_wait: seconds that one waiting watch lasts.
-    :ivar backoff_first: seconds of the first pause after a failed call.
-    :ivar backoff_most: seconds of the longest pause.
-    :ivar breaker_failures: calls unanswered in a row after which the key-value
-        service is not asked for a while.
-    :ivar list_interval: seconds between two readings of the list.
+    :ivar instance_list: address of the instance list.
+    :ivar timeout: seconds until a call times out.
+    :ivar watch_wait: seconds that a long-polling watch waits for a change.
+    :ivar backoff_first: seconds of the first delay after a failed call.
+    :ivar backoff_most: seconds of the longest delay.
+    :ivar breaker_failures: consecutive unanswered calls after which the circuit
+        breaker for the key-value service opens.
+    :ivar list_interval: seconds between two polls of the instance list.
     """
 
     key_value: Address
@@ -52,15 +52,16 @@
 
 class LinkSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    The connections between entries and sidecars.
+    Connections (links) between entries and sidecars.
 
     :ivar heartbeat: seconds between load reports of an idle sidecar.
-    :ivar load_interval: seconds between load reports of a busy one.
-    :ivar most_links: sidecars that an entry attaches to, those of its data centre
-        first; beyond it each entry takes its own choice of them.
-    :ivar silence: seconds without a message after which a link counts as lost.
-    :ivar reconnect: seconds between attempts to attach.
-    :ivar most_pending: bytes kept for a slow peer before its link is dropped.
+    :ivar load_interval: seconds between load reports while the load changes.
+    :ivar most_links: maximum number of sidecars that an entry connects to, those of
+        its data centre first; if there are more, each entry chooses its own subset.
+    :ivar silence: seconds without a message after which a link is considered lost.
+    :ivar reconnect: seconds between connection attempts.
+    :ivar most_pending: maximum bytes buffered for a slow peer before its link is
+        closed.
     """
 
     heartbeat: Seconds = 3.0
@@ -73,14 +74,14 @@
 
 class CallerLimits(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    Bounds on what callers may ask of one entry.
-
-    :ivar body_bytes: largest body.
-    :ivar in_flight: requests in work at once.
-    :ivar buffered_bytes: bytes that the system may keep for a caller that reads
-        slowly, before reading from its target is paused.
-    :ivar stall: seconds that a caller may leave its answer unread.
-    :ivar request_head: seconds a caller may take to send a request.
+    Limits for callers of an entry.
+
+    :ivar body_bytes: maximum size of a request body.
+    :ivar in_flight: maximum number of concurrent requests.
+    :ivar buffered_bytes: maximum bytes that the operating system buffers for a slow
+        caller before reading from its target is paused.
+    :ivar stall: seconds that a caller may leave its response unread.
+    :ivar request_head: seconds that a caller may take to send a request.
     """
 
     body_bytes: Count = 4_000_000
@@ -92,14 +93,15 @@
 
 class RetrySettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    When an attempt is repeated.
+    Retries of failed attempts.
 
-    :ivar attempts: most attempts of one request.
-    :ivar budget_ratio: retries allowed for each request, on average.
+    :ivar attempts: maximum number of attempts for a request.
+    :ivar budget_ratio: retries allowed per request, on average.
     :ivar budget_reserve: retries allowed beyond the ratio.
     :ivar backoff_first: seconds before the first retry after a refusal.
-    :ivar backoff_most: seconds of the longest pause between attempts.
-    :ivar progress: seconds without a token after which a stream moves elsewhere.
+    :ivar backoff_most: seconds of the longest delay between attempts.
+    :ivar progress: seconds without a token after which a stream is moved to another
+        target.
     """
 
     attempts: Count = 4
@@ -112,26 +114,28 @@
 
 class RoutingSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    How a target is chosen.
+    Selection of targets.
 
-    :ivar policy: how a target is preferred.
-    :ivar split: whether engines in the role ``prefill`` read long prompts and hand
-        their KV cache on to engines that write the answer.
-    :ivar split_from: tokens of prompt work from which on that is done.
-    :ivar prefill_rate: prompt tokens a second of an engine in the role ``mixed``.
+    :ivar policy: load balancing policy.
+    :ivar split: whether engines in the role ``prefill`` process long prompts and
+        transfer the KV cache to the engines that generate the response.
+    :ivar split_from: minimum number of prompt tokens to process for such a split.
+    :ivar prefill_rate: prompt tokens per second of an engine in the role ``mixed``.
     :ivar prefill_role_rate: the same in the role ``prefill``.
     :ivar decode_role_rate: the same in the role ``decode``.
-    :ivar stream_cost: seconds that each answer under way counts for.
-    :ivar interference: seconds that each answer under way counts for against reading
-        a long prompt beside it.
-    :ivar reader_preference: seconds of delay accepted at an engine in the role
-        ``prefill`` before a long prompt is read elsewhere.
-    :ivar misplaced_cost: seconds that work in the wrong role counts for.
-    :ivar remote_penalty: seconds that another data centre counts for.
-    :ivar prefixes_kept: beginnings of prompts remembered, with where they were read.
-    :ivar sample: targets compared for one request when there are many.
-    :ivar ejection_failures: failures in a row that eject a target.
-    :ivar ejection_time: seconds of the first ejection; it doubles.
+    :ivar stream_cost: cost, in seconds, of each response in progress at a target.
+    :ivar interference: additional cost, in seconds, of each response in progress that
+        the prefill of a long prompt would slow down.
+    :ivar reader_preference: seconds of additional delay accepted at an engine in the
+        role ``prefill`` before a long prompt is processed elsewhere.
+    :ivar misplaced_cost: cost, in seconds, of a target whose role does not suit the
+        request.
+    :ivar remote_penalty: cost, in seconds, of a target in another data centre.
+    :ivar prefixes_kept: prompt prefixes remembered, with the targets that processed
+        them.
+    :ivar sample: number of targets compared for a request if there are many.
+    :ivar ejection_failures: consecutive failures after which a target is ejected.
+    :ivar ejection_time: seconds of the first ejection; doubles with each further one.
     :ivar ejection_most: seconds of the longest ejection.
     """
 
@@ -157,23 +161,28 @@
 
 class PlannerSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    Planning the roles of engines.
-
-    :ivar interval: seconds between two looks at the groups of the region.
-    :ivar lease: seconds that the duty for a group lasts unless renewed.
-    :ivar ask_again: seconds, about, until an entry without the duty asks for it again;
-        half as much again at most, which bounds how long a lost planner is missed.
-    :ivar most_changing: engines of a group that may be out of service for orders.
-    :ivar lost_after: seconds without a link after which an engine under a change
-        counts as lost and no longer holds up the others.
-    :ivar policy: ``fixed`` keeps the configured roles, ``mix`` follows the mix,
-        ``threshold`` follows it at once (a baseline).
-    :ivar engine_rate: tokens of long prompts that one engine in the role ``prefill``
-        is to read in a second, with room for bursts.
-    :ivar smoothing: seconds over which the demand is averaged.
-    :ivar horizon: seconds for which a peak of the demand is expected to come again.
-        This is the price of a change: the longer, the fewer changes.
-    :ivar margin: engines by which the demand must exceed what is there.
+    Planning of engine roles.
+
+    :ivar interval: seconds between two planning rounds for the groups of the region.
+    :ivar lease: seconds after which the planner lease of a group expires unless
+        renewed.
+    :ivar ask_again: average seconds between attempts of an entry to acquire the
+        planner lease of a group; the longest interval is 1.5 times as long and limits
+        how long a failed planner is not replaced.
+    :ivar most_changing: maximum number of engines of a group that may be out of
+        service for orders at the same time.
+    :ivar lost_after: seconds without a link after which a changing engine is
+        considered lost and no longer delays changes of the others.
+    :ivar policy: ``fixed`` keeps the configured roles, ``mix`` follows the recent peak
+        of long prompts, ``threshold`` follows their current rate without hysteresis (a
+        baseline for comparison).
+    :ivar engine_rate: planned tokens of long prompts per second for an engine in the
+        role ``prefill``, with headroom for bursts.
+    :ivar smoothing: time constant, in seconds, of the average demand.
+    :ivar horizon: seconds for which a peak in demand is expected to recur. It reflects
+        the cost of a role change: a longer horizon causes fewer changes.
+    :ivar margin: fraction of an engine by which the demand must exceed the capacity
+        before another engine is changed.
     """
 
     interval: Seconds = 0.5
@@ -193,12 +202,13 @@
     Settings of an entry.
 
     :ivar instance: name of this instance.
-    :ivar data_centre: where it stands.
+    :ivar data_centre: data centre of this instance.
     :ivar listen: address for callers.
-    :ivar leave_delay: seconds that the balancer gets to notice a stop.
-    :ivar shared_key: secret that processes of the system prove themselves with.
-    :ivar stop_within: seconds that a graceful stop may take.
-    :ivar trace_ratio: share of requests whose spans are written out.
+    :ivar leave_delay: seconds during which an entry that shuts down still accepts
+        requests, so that the load balancer notices the shutdown.
+    :ivar shared_key: secret with which the processes authenticate to each other.
+    :ivar stop_within: maximum seconds of a graceful shutdown.
+    :ivar trace_ratio: share of requests that are traced.
     """
 
     instance: str
@@ -218,11 +228,11 @@
 
 class QueueSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    The queue before one target.
+    The request queue of a target.
 
-    :ivar slots: requests that the target works on at once.
-    :ivar waiting: requests that may wait.
-    :ivar aging: seconds of waiting that raise a request by one priority.
+    :ivar slots: maximum number of requests that the target processes concurrently.
+    :ivar waiting: maximum number of queued requests.
+    :ivar aging: seconds in the queue that raise a request by one priority level.
     """
 
     slots: Count = 32
@@ -232,12 +242,12 @@
 
 class ClaimSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    Claims on calls that may not be repeated.
+    Claims for calls that must not be repeated.
 
-    :ivar commit_interval: seconds between two writes of one partition.
+    :ivar commit_interval: seconds between two writes of a partition.
     :ivar retention: seconds that a claim is kept.
-    :ivar most: claims kept in one partition.
-    :ivar answers: answers kept in memory for callers that ask again.
+    :ivar most: maximum number of claims in a partition.
+    :ivar answers: responses kept in memory for callers that repeat a call.
     """
 
     commit_interval: Seconds = 0.1
@@ -248,11 +258,13 @@
 
 class OrderSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    Carrying out the plan.
+    Execution of the plan.
 
-    :ivar timeout: seconds after which an order counts as lost.
-    :ivar spread: seconds over which sidecars that start together read the plan.
-    :ivar quiet: seconds a new sidecar waits for its predecessor's orders to land.
+    :ivar timeout: seconds after which an order is considered lost.
+    :ivar spread: maximum seconds of a random delay before a new sidecar reads the
+        plan, for sidecars that start at the same time.
+    :ivar quiet: seconds that a new sidecar waits for orders of its predecessor that
+        may still reach the engine.
     """
 
     timeout: Seconds = 60.0
@@ -265,18 +277,21 @@
     Settings of a sidecar.
 
     :ivar instance: name of this instance.
-    :ivar data_centre: where it stands.
-    :ivar listen: address for entries; held as the target's one slot.
-    :ivar advertise: address that entries are told, if it is not ``listen``.
-    :ivar target: name of the target beside it.
-    :ivar target_address: where the target listens.
-    :ivar shared_key: secret that processes of the system prove themselves with.
-    :ivar target_timeout: seconds until a call to the target counts as unanswered.
-    :ivar probe_interval: seconds between two probes of the target.
-    :ivar probes_missed: probes unanswered in a row after which it counts as lost.
-    :ivar stop_grace: seconds that links get to pass on their last answers.
-    :ivar stop_within: seconds that a graceful stop may take.
-    :ivar trace_ratio: share of requests whose spans are written out.
+    :ivar data_centre: data centre of this instance.
+    :ivar listen: address for entries; listening on it also ensures that a target has
+        only one sidecar.
+    :ivar advertise: address that entries connect to, if it differs from ``listen``.
+    :ivar target: name of the target that it serves.
+    :ivar target_address: address of the target.
+    :ivar shared_key: secret with which the processes authenticate to each other.
+    :ivar target_timeout: seconds until a call to the target times out.
+    :ivar probe_interval: seconds between two health checks of the target.
+    :ivar probes_missed: consecutive failed health checks after which the target is
+        considered lost.
+    :ivar stop_grace: maximum seconds to wait for links to deliver their last responses
+        on shutdown.
+    :ivar stop_within: maximum seconds of a graceful shutdown.
+    :ivar trace_ratio: share of requests that are traced.
     """
 
     instance: str
@@ -304,9 +319,9 @@
 
 def merge_documents(documents: list[dict[str, Any]]) -> dict[str, Any]:
     """
-    Lay overlays over a base.
+    Merge overlays into a base document.
 
-    :param documents: the base first, then each overlay.
+    :param documents: the base document, followed by the overlays.
     :returns: a new document.
     :source: RFC 7396, JSON Merge Patch.
     """
@@ -320,11 +335,11 @@
     settings_type: type[SettingsType], paths: list[str]
 ) -> Result[SettingsType, SettingsInvalid]:
     """
-    Read a process's settings.
+    Read the settings of a process.
 
-    :param settings_type: which process's.
-    :param paths: the base file, then the overlays.
-    :returns: the settings, or what is wrong with them.
+    :param settings_type: type of the settings.
+    :param paths: the base file, followed by the overlays.
+    :returns: the settings, or the error found in them.
     """
     try:
         documents = [json.loads(Path(path).read_text()) for path in paths]
@@ -336,10 +351,10 @@
 
 def split_address(address: str) -> tuple[str, int]:
     """
-    Take an address apart.
+    Split an address into host and port.
 
-    :param address: ``IP:port``.
-    :returns: IP number and port.
+    :param address: ``IP:port``; an IPv6 address is enclosed in brackets.
+    :returns: IP address and port.
     """
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
--- a/pimentolink/timers.py
+++ b/pimentolink/timers.py
@@ -1,4 +1,4 @@
-"""The timer service: the one source of time that every part subscribes to."""
+"""The timer service: the only source of time and delayed calls for all components."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Timer(Protocol):
-    """A pending call."""
+    """A scheduled call that can be cancelled."""
 
     def cancel(self) -> None:
-        """Drop the call; does nothing once it has been made."""
+        """Cancel the call; has no effect once the call was made."""
 
 
 class Timers(Protocol):
-    """What decisions may know of time."""
+    """Clocks and delayed calls, on real or virtual time."""
 
     def now(self) -> float:
         """
@@ -32,33 +32,34 @@
 
     def wall_time(self) -> float:
         """
-        Read the calendar clock, which differs between instances.
+        Read the wall clock, which may differ between instances.
 
         :returns: seconds since 1970.
         """
 
     def boot_time(self) -> float:
         """
-        Read the clock that goes on while the instance is suspended.
+        Read the monotonic clock that also counts time while the instance is suspended.
 
         :returns: seconds since an arbitrary start.
         """
 
     def call_later(self, delay: float, callback: Callable[[], object]) -> Timer:
         """
-        Subscribe to one moment.
+        Schedule a call.
 
-        :param delay: seconds from now, not negative.
-        :param callback: called once on the loop.
+        :param delay: seconds from now; not negative.
+        :param callback: called once, on the event loop.
         """
 
 
 def pause(timers: Timers, seconds: float) -> Deferred[None]:
     """
-    Wait.
+    Wait for a given time.
 
     :param timers: the timer service.
-    :param seconds: how long.
+    :param seconds: how long to wait.
+    :returns: a Deferred that fires when the time has passed.
     """
     pending: Deferred[None] = Deferred()
     timers.call_later(seconds, lambda: pending.callback(None))
@@ -67,10 +68,10 @@
 
 def in_background(work: Coroutine[Any, Any, None]) -> Deferred[None]:
     """
-    Begin work that goes on until it is cancelled.
+    Start a coroutine in the background, to run until it is cancelled.
 
     :param work: a coroutine that awaits Deferreds.
-    :returns: what cancels it; being cancelled is no failure of it.
+    :returns: a Deferred that cancels the coroutine; its cancellation is not an error.
     """
     running = Deferred.fromCoroutine(work)
     running.addErrback(lambda failure: failure.trap(CancelledError))
@@ -81,12 +82,13 @@
     timers: Timers, seconds: float, work: Coroutine[Any, Any, Awaited]
 ) -> Awaited:
     """
-    Wait for work that is cancelled when it takes too long.
+    Wait for a coroutine, and cancel it on a timeout.
 
     :param timers: the timer service.
-    :param seconds: how long it may take.
+    :param seconds: timeout.
     :param work: a coroutine that awaits Deferreds.
-    :raises TimeoutError: if it took longer.
+    :returns: the result of the coroutine.
+    :raises TimeoutError: if the timeout expired.
     """
     pending: Deferred[Awaited] = Deferred.fromCoroutine(work)
     expired = False
@@ -108,46 +110,46 @@
         timer.cancel()
 
 
-async def together(works: Iterable[Coroutine[Any, Any, Awaited]]) -> list[Awaited]:
+async def together(coroutines: Iterable[Coroutine[Any, Any, Awaited]]) -> list[Awaited]:
     """
-    Do several things at a time and wait for all.
+    Run coroutines concurrently and wait for all of them.
 
-    :param works: coroutines that await Deferreds and raise nothing.
-    :returns: what came of each, in their order.
+    :param coroutines: coroutines that await Deferreds and do not raise.
+    :returns: their results, in the same order.
     """
-    pending = [Deferred.fromCoroutine(work) for work in works]
+    pending = [Deferred.fromCoroutine(work) for work in coroutines]
     return [await item for item in pending]
 
 
 class Repeater:
-    """Calls back at a fixed interval until cancelled."""
+    """Calls a function at a fixed interval until cancelled."""
 
     def __init__(
         self, timers: Timers, interval: float, callback: Callable[[], object]
     ) -> None:
         """
-        Start repeating.
+        Schedule the first call.
 
         :param timers: the timer service.
         :param interval: seconds between calls.
-        :param callback: called on each turn, first after one interval.
+        :param callback: called repeatedly, first after one interval.
         """
         self._timers = timers
         self._interval = interval
         self._callback = callback
-        self._timer: Timer = timers.call_later(interval, self._turn)
+        self._timer: Timer = timers.call_later(interval, self._run)
 
-    def _turn(self) -> None:
-        self._timer = self._timers.call_later(self._interval, self._turn)
+    def _run(self) -> None:
+        self._timer = self._timers.call_later(self._interval, self._run)
         self._callback()
 
     def cancel(self) -> None:
-        """Stop repeating."""
+        """Stop the calls."""
         self._timer.cancel()
 
 
 class _ReactorTimer:
-    """A delayed call of the reactor, safe to cancel at any time."""
+    """A delayed call of the reactor that can be cancelled even after it was made."""
 
     def __init__(self, delayed_call: Any) -> None:
         self._delayed_call = delayed_call
@@ -158,11 +160,11 @@
 
 
 class ReactorTimers:
-    """Timers on a Twisted reactor."""
+    """Real time, with delayed calls on a Twisted reactor."""
 
     def __init__(self, reactor: Any) -> None:
         """
-        Bind to the loop.
+        Use a reactor.
 
         :param reactor: provides ``callLater``.
         """
@@ -173,20 +175,20 @@
         return time.monotonic()
 
     def wall_time(self) -> float:
-        """Read the calendar clock, in seconds since 1970."""
+        """Read the wall clock, in seconds since 1970."""
         return time.time()
 
     def boot_time(self) -> float:
-        """Read the clock that goes on in a suspension, in seconds."""
+        """Read the monotonic clock that includes suspended time, in seconds."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def call_later(self, delay: float, callback: Callable[[], object]) -> Timer:
-        """Subscribe to one moment ``delay`` seconds away."""
+        """Schedule a call in ``delay`` seconds."""
         return _ReactorTimer(self._reactor.callLater(delay, callback))
 
 
 class _ManualTimer:
-    """A pending call in virtual time."""
+    """A scheduled call in virtual time."""
 
     def __init__(self, callback: Callable[[], object]) -> None:
         self.callback: Callable[[], object] | None = callback
@@ -196,10 +198,10 @@
 
 
 class ManualTimers:
-    """Timers in virtual time, moved by hand; the twin for tests."""
+    """Virtual time for tests, which only moves when told to."""
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Start the virtual clock at zero."""
         self._now = 0.0
         self.suspended = 0.0
         self._order = itertools.count()
@@ -210,33 +212,33 @@
         return self._now
 
     def wall_time(self) -> float:
-        """Read the virtual calendar, which starts in 2027."""
+        """Read the virtual wall clock, in seconds since 1970; it starts in 2027."""
         return 1_800_000_000.0 + self._now
 
     def boot_time(self) -> float:
-        """Read the virtual clock with the suspensions, in seconds."""
+        """Read the virtual clock including suspended time, in seconds."""
         return self._now + self.suspended
 
     def suspend(self, seconds: float) -> None:
-        """Let time pass that the monotonic clock does not count."""
+        """Simulate a suspension, which the monotonic clock does not count."""
         self.suspended += seconds
 
     def call_later(self, delay: float, callback: Callable[[], object]) -> Timer:
-        """Subscribe to one virtual moment ``delay`` seconds away."""
+        """Schedule a call in ``delay`` seconds of virtual time."""
         timer = _ManualTimer(callback)
         heapq.heappush(self._heap, (self._now + delay, next(self._order), timer))
         return timer
 
     def advance(self, seconds: float) -> None:
         """
-        Move time forward and make every call that falls due, in order.
+        Advance the clock and make all calls that become due, in order.
 
-        :param seconds: how far.
+        :param seconds: how far to advance.
         """
         end = self._now + seconds
         while self._heap and self._heap[0][0] <= end:
-            moment, _, timer = heapq.heappop(self._heap)
-            self._now = moment
+            due_at, _, timer = heapq.heappop(self._heap)
+            self._now = due_at
             if timer.callback is not None:
                 timer.callback()
         self._now = end
--- a/pimentolink/tracing.py
+++ b/pimentolink/tracing.py
@@ -1,4 +1,4 @@
-"""Traces: a span for each hop of a request, in W3C trace context."""
+"""Tracing: a span for each hop of a request, linked by W3C trace context."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from pimentolink.logs import Log, LogEvent
 
 REQUEST_ATTRIBUTE = "pimentolink.request"
-TRACES_KEPT = 1_000
-SPANS_KEPT = 64
+MAX_TRACED_REQUESTS = 1_000
+MAX_SPANS_PER_REQUEST = 64
 SAMPLED_DIGITS = frozenset("13579bdf")
 _propagator = TraceContextTextMapPropagator()
 
@@ -28,6 +28,7 @@
     """
     A span that has ended.
 
+    :ivar process: name of the process that recorded it.
     :ivar start: nanoseconds since 1970.
     :ivar end: nanoseconds since 1970.
     """
@@ -44,18 +45,19 @@
 
 class Tracing:
     """
-    Makes spans and keeps the last ones by request, bounded.
+    Creates spans and keeps a bounded number of recent ones by request.
 
-    Spans are handed on when they end, on the loop: no thread of the library is used.
+    Ended spans are processed synchronously on the event loop; no thread of the
+    OpenTelemetry library is used.
     """
 
     def __init__(self, process: str, ratio: float, log: Log) -> None:
         """
-        Prepare.
+        Set up a tracer.
 
         :param process: name of this process.
-        :param ratio: share of requests traced that bring no trace of their own.
-        :param log: where ended spans go.
+        :param ratio: share of requests to trace among those without a trace context.
+        :param log: log that ended spans are written to.
         """
         self._process = process
         self._ratio = ratio
@@ -64,16 +66,17 @@
         provider = TracerProvider(
             sampler=ParentBased(TraceIdRatioBased(ratio)), shutdown_on_exit=False
         )
-        provider.add_span_processor(_Handover(self._ended))
+        provider.add_span_processor(_CallbackSpanProcessor(self._span_ended))
         self._tracer = provider.get_tracer("pimentolink")
 
     def start(self, name: str, request_id: str, traceparent: str) -> trace.Span:
         """
-        Begin a span.
+        Start a span.
 
-        :param name: of the hop.
-        :param request_id: which request it belongs to.
-        :param traceparent: of the hop before, or empty.
+        :param name: name of the hop.
+        :param request_id: ID of the request.
+        :param traceparent: trace context of the previous hop, or empty.
+        :returns: the span; ``INVALID_SPAN`` if the request is not traced.
         """
         is_traced = self._ratio > 0 if not traceparent else _is_sampled(traceparent)
         if not is_traced:
@@ -85,9 +88,10 @@
     @staticmethod
     def traceparent(span: trace.Span) -> str:
         """
-        Write a span's context for the next hop.
+        Return the ``traceparent`` header to pass to the next hop.
 
-        :param span: of this hop.
+        :param span: span of this hop.
+        :returns: empty if the request is not traced.
         """
         if span is trace.INVALID_SPAN:
             return ""
@@ -97,42 +101,42 @@
 
     def spans(self, request_id: str) -> list[SpanRecord]:
         """
-        Look up the spans of a request.
+        Return the spans of a request.
 
-        :param request_id: which.
-        :returns: those still kept, by start.
+        :param request_id: ID of the request.
+        :returns: the spans still kept, ordered by start time.
         """
         spans = self._spans_by_request.get(request_id, [])
         return sorted(spans, key=lambda span: span.start)
 
     def take(self, request_id: str) -> bytes:
         """
-        Hand over the spans of a request to the hop before.
+        Remove the spans of a request and return them for the previous hop.
 
-        :param request_id: which.
-        :returns: JSON, or nothing if the request is not traced.
+        :param request_id: ID of the request.
+        :returns: JSON; empty if the request is not traced.
         """
         spans = self._spans_by_request.pop(request_id, [])
         return msgspec.json.encode(spans) if spans else b""
 
     def put(self, request_id: str, spans: bytes) -> None:
         """
-        Keep spans of the next hop.
+        Add spans received from the next hop.
 
-        :param request_id: which request's.
-        :param spans: as :meth:`take` gave them.
+        :param request_id: ID of the request.
+        :param spans: as returned by :meth:`take`.
         """
         if spans:
             for span in msgspec.json.decode(spans, type=list[SpanRecord]):
-                self._keep(request_id, span)
+                self._add(request_id, span)
 
-    def _ended(self, span: ReadableSpan) -> None:
-        record = self._record(span)
+    def _span_ended(self, span: ReadableSpan) -> None:
+        record = self._to_record(span)
         self._log.write(LogEvent.SPAN_ENDED, **record._asdict())
         request_id = record.attributes.get(REQUEST_ATTRIBUTE, "")
-        self._keep(request_id, record)
+        self._add(request_id, record)
 
-    def _record(self, span: ReadableSpan) -> SpanRecord:
+    def _to_record(self, span: ReadableSpan) -> SpanRecord:
         context = span.get_span_context()
         assert context is not None
         attributes = {key: str(value) for key, value in (span.attributes or {}).items()}
@@ -147,25 +151,25 @@
             attributes=attributes,
         )
 
-    def _keep(self, request_id: str, record: SpanRecord) -> None:
+    def _add(self, request_id: str, record: SpanRecord) -> None:
         spans = self._spans_by_request.setdefault(request_id, [])
-        if len(spans) < SPANS_KEPT:
+        if len(spans) < MAX_SPANS_PER_REQUEST:
             spans.append(record)
-        if len(self._spans_by_request) > TRACES_KEPT:
+        if len(self._spans_by_request) > MAX_TRACED_REQUESTS:
             self._spans_by_request.popitem(last=False)
 
 
 def _is_sampled(traceparent: str) -> bool:
     """
-    Read the flag that tells whether a trace is recorded.
+    Return whether the sampled flag of a trace context is set.
 
     :source: W3C Trace Context, trace-flags.
     """
     return traceparent[-1:] in SAMPLED_DIGITS
 
 
-class _Handover(SpanProcessor):
-    """Hands each ended span on at once."""
+class _CallbackSpanProcessor(SpanProcessor):
+    """A span processor that passes each ended span to a function, synchronously."""
 
     def __init__(self, on_end: Callable[[ReadableSpan], None]) -> None:
         self._on_end = on_end
@@ -174,12 +178,12 @@
         """Do nothing."""
 
     def on_end(self, span: ReadableSpan) -> None:
-        """Hand the span on."""
+        """Pass the span to the function."""
         self._on_end(span)
 
     def shutdown(self) -> None:
         """Do nothing."""
 
     def force_flush(self, timeout_millis: int = 30_000) -> bool:
-        """Do nothing: nothing is held back."""
+        """Do nothing, as no spans are buffered."""
         return True
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""A configuration is checked as a whole, every fault at once."""
+"""Tests of configuration validation, comparison and adoption."""
 
 import msgspec
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs that never wait for their reader."""
+"""Tests that log output never blocks on its reader."""
 
 import json
 import os
