--- a/pimentolink/callerhttp.py
+++ b/pimentolink/callerhttp.py
@@ -22,38 +22,40 @@
 from pimentolink.routes import CallerBounds
 from pimentolink.timers import Timer, Timers
 
-# Bytes of further requests kept while one is answered; then reading stops.
-MAX_AHEAD = 65_536
-# Seconds that a connection is kept open beyond the bound that callers are told, so
-# that none closes just as its caller sends.
-IDLE_GRACE = 2.0
+# Bytes of pipelined requests buffered while one is being served; beyond them, reading
+# from the connection is paused.
+MAX_PIPELINED_BYTES = 65_536
+# Seconds that a connection stays open beyond the documented idle timeout, so that it
+# does not close just as its caller sends the next request.
+IDLE_TIMEOUT_MARGIN = 2.0
 
 
 class Handler(Protocol):
-    """Answers requests."""
+    """Serves requests."""
 
     def handle(
         self, http: HttpRequest, responder: CallerConnection
     ) -> Coroutine[Any, Any, None]:
-        """Answer one request through its connection."""
+        """Serve one request; ``responder`` sends the response."""
 
 
 @implementer(IPushProducer)
 class CallerConnection(TwistedProtocol):
     """
-    One caller's connection: requests one after the other.
+    An HTTP/1.1 connection of a caller, which serves one request at a time.
 
-    Guards that nothing of a malformed request is handed on, that each request gets
-    one answer, and that a caller's leaving ends the work for it.
+    Guarantees that no part of a malformed request reaches the handler, that each
+    request gets one response, and that a request is cancelled if its caller
+    disconnects.
     """
 
     factory: CallerFactory
 
     def __init__(self, factory: CallerFactory) -> None:
         """
-        Wait for a request.
+        Create a connection.
 
-        :param factory: holds what connections share.
+        :param factory: holds what all connections share.
         """
         self.factory = factory
         self._received = bytearray()
@@ -61,58 +63,58 @@
         self._request: h11.Request | None = None
         self._body: list[bytes] = []
         self._body_size = 0
-        self._answering: Deferred[None] | None = None
+        self._handling: Deferred[None] | None = None
         self._timer: Timer | None = None
         self.is_closing = False
-        self._is_lost = False
+        self._is_disconnected = False
         self._is_reading_paused = False
         self._on_pause: Callable[[bool], None] | None = None
         self.has_begun = False
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Register with the factory."""
+        """Configure the socket and start to wait for a request."""
         transport: Any = self.transport
         transport.setTcpNoDelay(True)
         transport.registerProducer(self, True)
         self.factory.connections.add(self)
-        self._wait_idle()
+        self._start_idle_timer()
 
     def connectionLost(self, reason: TwistedFailure = connectionDone) -> None:  # noqa: N802
-        """End the work for a caller that left."""
-        self._is_lost = True
+        """Cancel the request of a caller that disconnected."""
+        self._is_disconnected = True
         self._stop_timer()
         self.factory.connections.discard(self)
-        if self._answering is not None:
+        if self._handling is not None:
             self.factory.caller_left(self._request_id())
-            self._answering.cancel()
+            self._handling.cancel()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take bytes of the caller."""
-        if self._answering is not None:
+        """Receive bytes from the caller."""
+        if self._handling is not None:
             self._received += data
-            if len(self._received) > MAX_AHEAD:
+            if len(self._received) > MAX_PIPELINED_BYTES:
                 self._is_reading_paused = True
                 self._transport().pauseProducing()
             return
         if self._parser is not None:
             self._parser.receive_data(data)
-            self._take_body()
+            self._parse_body()
             return
         if not self._received:
-            self._wait_head()
+            self._start_head_timer()
         self._received += data
-        self._take_head()
+        self._parse_head()
 
     def close_if_idle(self) -> None:
-        """Close the connection unless a request is under way on it."""
+        """Close the connection now if it has no request, or else after its response."""
         self.is_closing = True
-        if self._answering is None and self._parser is None and not self._received:
+        if self._handling is None and self._parser is None and not self._received:
             self._transport().loseConnection()
 
     def _transport(self) -> Any:
         return self.transport
 
-    def _take_head(self) -> None:
+    def _parse_head(self) -> None:
         bounds = self.factory.bounds()
         found = split_head(bytes(self._received), bounds.head_bytes)
         if isinstance(found, Err):
@@ -132,9 +134,9 @@
         self._received.clear()
         self._body.clear()
         self._body_size = 0
-        self._take_body()
+        self._parse_body()
 
-    def _take_body(self) -> None:
+    def _parse_body(self) -> None:
         parser = self._parser
         assert parser is not None
         while True:
@@ -144,12 +146,12 @@
                 self._reject(InvalidRequest(str(error)))
                 return
             if event is h11.NEED_DATA:
-                self._wait_body()
+                self._start_body_timer()
                 return
             if isinstance(event, h11.Request):
                 self._request = event
-                if self._told_length(event) > self.factory.bounds().body_bytes:
-                    self._reject(BodyTooLarge("the body is over the limit"))
+                if self._declared_length(event) > self.factory.bounds().body_bytes:
+                    self._reject(BodyTooLarge("the body exceeds the size limit"))
                     return
                 if parser.they_are_waiting_for_100_continue:
                     self._write_event(
@@ -159,19 +161,19 @@
                 self._body.append(bytes(event.data))
                 self._body_size += len(event.data)
                 if self._body_size > self.factory.bounds().body_bytes:
-                    self._reject(BodyTooLarge("the body is over the limit"))
+                    self._reject(BodyTooLarge("the body exceeds the size limit"))
                     return
             elif isinstance(event, h11.EndOfMessage):
-                self._whole()
+                self._handle_request()
                 return
             else:
                 return
 
-    def _told_length(self, request: h11.Request) -> int:
+    def _declared_length(self, request: h11.Request) -> int:
         headers = tuple(request.headers.raw_items())
         return int(header_value(headers, b"content-length") or 0)
 
-    def _whole(self) -> None:
+    def _handle_request(self) -> None:
         parser, request = self._parser, self._request
         assert parser is not None
         assert request is not None
@@ -186,23 +188,23 @@
             b"".join(self._body),
         )
         self._body.clear()
-        answering = Deferred.fromCoroutine(self.factory.handler.handle(message, self))
-        self._answering = answering
-        answering.addErrback(self._broke)
-        answering.addBoth(lambda _: self._answered())
+        handling = Deferred.fromCoroutine(self.factory.handler.handle(message, self))
+        self._handling = handling
+        handling.addErrback(self._handler_failed)
+        handling.addBoth(lambda _: self._request_done())
 
-    def _broke(self, failure: TwistedFailure) -> None:
-        if failure.check(CancelledError) and self._is_lost:
+    def _handler_failed(self, failure: TwistedFailure) -> None:
+        if failure.check(CancelledError) and self._is_disconnected:
             return
         self.factory.log.write(
             LogEvent.UNHANDLED_ERROR, traceback=failure.getTraceback()
         )
         self.abort()
 
-    def _answered(self) -> None:
-        self._answering = None
+    def _request_done(self) -> None:
+        self._handling = None
         parser, self._parser = self._parser, None
-        if self._is_lost or parser is None:
+        if self._is_disconnected or parser is None:
             return
         if parser.our_state is not h11.DONE and parser.our_state is not h11.MUST_CLOSE:
             self.abort()
@@ -210,39 +212,39 @@
         if parser.our_state is h11.MUST_CLOSE or self.is_closing:
             self._transport().loseConnection()
             return
-        self._go_on()
+        self._next_request()
 
-    def _go_on(self) -> None:
+    def _next_request(self) -> None:
         if self._is_reading_paused:
             self._is_reading_paused = False
             self._transport().resumeProducing()
         if self._received:
-            self._wait_head()
-            # A turn of the loop between requests keeps a pipelining caller from
-            # taking the process for itself.
-            self.factory.timers.call_later(0, self._take_waiting)
+            self._start_head_timer()
+            # Yielding to the event loop between requests keeps a caller that pipelines
+            # from starving the others.
+            self.factory.timers.call_later(0, self._parse_pipelined)
         else:
-            self._wait_idle()
+            self._start_idle_timer()
 
-    def _take_waiting(self) -> None:
-        if not self._is_lost and self._parser is None and self._received:
-            self._take_head()
+    def _parse_pipelined(self) -> None:
+        if not self._is_disconnected and self._parser is None and self._received:
+            self._parse_head()
 
     def begin(self, status: int, headers: Headers) -> None:
-        """Write the head of an answer of unknown length."""
+        """Write the head of a response of unknown length."""
         self.has_begun = True
         self._write_head(status, [*headers])
 
     def write(self, data: bytes) -> None:
-        """Write on."""
+        """Write the next bytes of the body."""
         self._write_event(h11.Data(data=data))
 
     def finish(self) -> None:
-        """End the answer as complete."""
+        """End the body, which completes the response."""
         self._write_event(h11.EndOfMessage())
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write a whole answer."""
+        """Write a complete response."""
         self.has_begun = True
         length = (b"Content-Length", str(len(body)).encode())
         self._write_head(status, [*headers, length])
@@ -251,26 +253,26 @@
         self.finish()
 
     def abort(self) -> None:
-        """Cut the answer off."""
-        if not self._is_lost:
+        """Close the connection, so that the response does not look complete."""
+        if not self._is_disconnected:
             self._transport().abortConnection()
 
     def on_pause(self, callback: Callable[[bool], None]) -> None:
-        """Ask to be told when the caller stops reading and when it goes on."""
+        """Set the callback for when the caller stops or resumes reading."""
         self._on_pause = callback
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Hold the target back: the caller does not read."""
+        """Pause reading from the target: the caller does not read."""
         if self._on_pause is not None:
             self._on_pause(True)
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Let the target go on: the caller reads again."""
+        """Resume reading from the target: the caller reads again."""
         if self._on_pause is not None:
             self._on_pause(False)
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Do nothing: the caller's leaving is told by the connection."""
+        """Do nothing: :meth:`connectionLost` handles the disconnect."""
 
     def _write_head(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
         if self.is_closing:
@@ -278,7 +280,7 @@
         self._write_event(h11.Response(status_code=status, headers=headers))
 
     def _write_event(self, event: h11.Event) -> None:
-        if self._is_lost or self._parser is None:
+        if self._is_disconnected or self._parser is None:
             return
         data = self._parser.send(event)
         if data:
@@ -293,11 +295,11 @@
         return self.factory.request_id(tuple(self._request.headers.raw_items()))
 
     def _reject(self, failure: Failure) -> None:
-        """Answer what is no proper request, and close."""
+        """Send an error response to an invalid request and close the connection."""
         self._stop_timer()
         self.factory.rejected(failure)
         body = f"{failure}\n".encode()
-        reason = h11.Response(
+        response = h11.Response(
             status_code=failure.status,
             headers=[
                 (b"Content-Type", b"text/plain"),
@@ -305,11 +307,11 @@
                 (b"Connection", b"close"),
             ],
         )
-        writer = h11.Connection(h11.SERVER)
-        data = [writer.send(reason), writer.send(h11.Data(data=body))]
+        encoder = h11.Connection(h11.SERVER)
+        data = [encoder.send(response), encoder.send(h11.Data(data=body))]
         self._parser = None
         self._received.clear()
-        self._transport().write(b"".join(piece for piece in data if piece))
+        self._transport().write(b"".join(chunk for chunk in data if chunk))
         self._transport().loseConnection()
 
     def _stop_timer(self) -> None:
@@ -317,20 +319,20 @@
             self._timer.cancel()
             self._timer = None
 
-    def _wait_idle(self) -> None:
-        seconds = self.factory.bounds().idle_time + IDLE_GRACE
+    def _start_idle_timer(self) -> None:
+        seconds = self.factory.bounds().idle_time + IDLE_TIMEOUT_MARGIN
         self._set_timer(seconds, lambda: self._transport().loseConnection())
 
-    def _wait_head(self) -> None:
+    def _start_head_timer(self) -> None:
         bounds = self.factory.bounds()
-        self._set_timer(bounds.head_time + IDLE_GRACE, self._too_slow)
+        self._set_timer(bounds.head_time + IDLE_TIMEOUT_MARGIN, self._request_timed_out)
 
-    def _wait_body(self) -> None:
+    def _start_body_timer(self) -> None:
         bounds = self.factory.bounds()
-        self._set_timer(bounds.idle_time, self._too_slow)
+        self._set_timer(bounds.idle_time, self._request_timed_out)
 
-    def _too_slow(self) -> None:
-        self._reject(RequestTooSlow("the request did not come in time"))
+    def _request_timed_out(self) -> None:
+        self._reject(RequestTooSlow("the request was not received in time"))
 
     def _set_timer(self, seconds: float, callback: Callable[[], object]) -> None:
         self._stop_timer()
@@ -338,7 +340,7 @@
 
 
 class CallerFactory(Factory):
-    """Makes connections and holds what they share."""
+    """Creates connections and holds what they share."""
 
     def __init__(
         self,
@@ -350,14 +352,14 @@
         metrics: Metrics,
     ) -> None:
         """
-        Start without connections.
+        Create a factory.
 
-        :param handler: answers requests.
-        :param bounds: reads the bounds in force.
+        :param handler: serves requests.
+        :param bounds: returns the current size limits and timeouts.
         :param request_id: reads a request's id from its headers.
         :param timers: the timer service.
-        :param log: where events go.
-        :param metrics: where figures go.
+        :param log: records disconnects, invalid requests and unhandled errors.
+        :param metrics: counts disconnects and invalid requests.
         """
         self.handler = handler
         self.bounds = bounds
@@ -369,29 +371,29 @@
         self.connections: set[CallerConnection] = set()
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802
-        """Make the protocol of a new connection."""
+        """Create the protocol instance of a new connection."""
         connection = CallerConnection(self)
         connection.is_closing = self.is_closing
         return connection
 
     def close_idle(self) -> None:
-        """Close connections as they fall idle."""
+        """Close idle connections now, and the others after their response."""
         self.is_closing = True
         for connection in list(self.connections):
             connection.close_if_idle()
 
     def announce_close(self) -> None:
-        """Tell callers with their next answer that the connection closes."""
+        """Send ``Connection: close`` with the next response on each connection."""
         self.is_closing = True
         for connection in self.connections:
             connection.is_closing = True
 
     def caller_left(self, request_id: str) -> None:
-        """Count a caller that closed before its answer was whole."""
+        """Record a caller that disconnected before its response was complete."""
         self._metrics.count("callers_left")
         self.log.write(LogEvent.CALLER_LEFT, request=request_id)
 
     def rejected(self, failure: Failure) -> None:
-        """Count what was no proper request."""
+        """Record an invalid request."""
         self._metrics.count("rejected", failure.code)
         self.log.write(LogEvent.BAD_REQUEST, code=failure.code, detail=failure.detail)
--- a/pimentolink/calls.py
+++ b/pimentolink/calls.py
@@ -1,4 +1,4 @@
-"""Makes one call to one target and keeps the books on it."""
+"""Sends calls to targets and records their outcome."""
 
 from __future__ import annotations
 
@@ -31,27 +31,27 @@
 
 
 class CallWatcher(Protocol):
-    """Learns how calls end, and may keep a request from targets."""
+    """Is notified of how calls end, and may block a request from being sent."""
 
     async def admit(self, request: CallerRequest) -> None:
         """
-        Let a request be sent to a target.
+        Wait until a request may be sent to a target.
 
         :raises Failure: if it may not be sent.
         """
 
     def cut_off(self, request: CallerRequest, estimate: TargetEstimate) -> None:
-        """Learn that an exchange with a target did not come to its end."""
+        """Handle an exchange that ended before the response was complete."""
 
     def connection_lost(self, estimate: TargetEstimate) -> None:
-        """Learn that a target broke a connection off."""
+        """Handle a connection that broke, or carried an invalid response."""
 
     def answered(self, request: CallerRequest) -> None:
-        """Learn that a request got its whole answer."""
+        """Handle a request that got its complete response."""
 
 
 class Call:
-    """One exchange with a target, from sending to its last byte."""
+    """One exchange with a target, up to the last byte of the response."""
 
     def __init__(
         self,
@@ -62,43 +62,44 @@
         on_cut_off: Callable[[], None],
     ) -> None:
         """
-        Begin.
+        Start an exchange.
 
-        :param estimate: what is known of the target.
-        :param pool: where the connection goes back to.
-        :param connection: that carries the exchange.
+        :param estimate: the estimated state of the target.
+        :param pool: the pool to which the connection is returned.
+        :param connection: the connection that carries the exchange.
         :param sent_at: seconds of the timer service.
-        :param on_cut_off: called if it is ended before the answer's last byte.
+        :param on_cut_off: called if the exchange is closed before the last byte of
+            the response.
         """
         self.estimate = estimate
         self.sent_at = sent_at
         self._on_cut_off = on_cut_off
-        self._is_whole = False
+        self._is_complete = False
         self._pool = pool
         self._connection = connection
-        self._is_over = False
+        self._is_closed = False
         self.head: ReplyHead | None = None
 
     async def read(self) -> bytes | None:
-        """Read the answer's next bytes; ``None`` at its end."""
-        piece = await self._connection.read()
-        if piece is None:
-            self._is_whole = True
+        """Read the next bytes of the response; ``None`` at its end."""
+        chunk = await self._connection.read()
+        if chunk is None:
+            self._is_complete = True
             self.close()
-        return piece
+        return chunk
 
     async def read_all(self) -> HttpReply:
-        """Read the whole answer."""
+        """Read the complete response."""
         assert self.head is not None
         body = await self._connection.read_all(MAX_ANSWER_BYTES)
-        self._is_whole = True
+        self._is_complete = True
         self.close()
         return HttpReply(self.head, body)
 
     def pause(self, is_paused: bool) -> None:
-        """Stop reading from the target for a while, or go on."""
+        """Pause or resume reading from the target."""
         transport: Any = self._connection.transport
-        if self._is_over or transport is None:
+        if self._is_closed or transport is None:
             return
         if is_paused:
             transport.pauseProducing()
@@ -106,18 +107,18 @@
             transport.resumeProducing()
 
     def close(self) -> None:
-        """End it; a target that is still at work is cut off."""
-        if self._is_over:
+        """End the exchange; abort the connection if the response is incomplete."""
+        if self._is_closed:
             return
-        self._is_over = True
+        self._is_closed = True
         self.estimate.in_flight -= 1
         self._pool.release(self._connection)
-        if not self._is_whole:
+        if not self._is_complete:
             self._on_cut_off()
 
 
 class Caller:
-    """Makes calls over pooled connections to targets."""
+    """Sends calls over pooled connections to targets."""
 
     def __init__(
         self,
@@ -131,16 +132,16 @@
         metrics: Metrics,
     ) -> None:
         """
-        Prepare; connections are opened when needed.
+        Create a client; connections are opened when needed.
 
-        :param reactor: the loop.
-        :param settings: of connections.
-        :param fleet: learns of failures.
-        :param dialect: writes requests and reads answers.
-        :param watcher: learns how calls end.
+        :param reactor: the event loop.
+        :param settings: timeouts and limits of connections.
+        :param fleet: records failures and decides which targets to eject.
+        :param dialect: encodes requests and interprets responses.
+        :param watcher: is notified of how calls end.
         :param timers: the timer service.
-        :param log: where events go.
-        :param metrics: where figures go.
+        :param log: records failed attempts and ejected targets.
+        :param metrics: counts failed attempts.
         """
         self._reactor = reactor
         self._settings = settings
@@ -154,13 +155,13 @@
         self.max_connections: Callable[[str], int] = lambda service: settings.most
 
     def forget(self, target_id: str) -> None:
-        """Close the idle connections of a target that is gone."""
+        """Close the idle connections of a target that was removed."""
         pool = self._pools_by_target.pop(target_id, None)
         if pool is not None:
             pool.close()
 
     def pool(self, estimate: TargetEstimate) -> ConnectionPool:
-        """Find the connections to a target."""
+        """Return the connection pool of a target, creating it if needed."""
         target = estimate.target
         pool = self._pools_by_target.get(target.target_id)
         if pool is None:
@@ -168,16 +169,17 @@
                 self._reactor, target.address, self._settings, self._timers
             )
             self._pools_by_target[target.target_id] = pool
-        pool.most = self.max_connections(target.service)
+        pool.max_connections = self.max_connections(target.service)
         return pool
 
     async def alone(self, estimate: TargetEstimate, message: HttpRequest) -> HttpReply:
         """
-        Make one call on a connection of its own.
+        Make one call on a separate connection, which is closed afterwards.
 
-        Nothing of it can arrive once the connection is closed, which an order needs.
+        Orders need this: nothing of the request can arrive at the target after the
+        connection is closed.
 
-        :raises Failure: without an answer.
+        :raises Failure: if there is no response.
         """
         address = estimate.target.address
         pool = ConnectionPool(self._reactor, address, self._settings, self._timers)
@@ -188,9 +190,9 @@
 
     async def is_listening(self, estimate: TargetEstimate) -> bool:
         """
-        Tell whether anything listens at a target's address.
+        Check whether a process listens at a target's address.
 
-        A connection that can be made is kept for the next call.
+        If a connection can be opened, it is kept in the pool for the next call.
 
         :returns: ``False`` only if it refuses connections.
         """
@@ -207,9 +209,9 @@
 
     async def admit(self, request: CallerRequest) -> None:
         """
-        Let a request be sent to a target, now or after it has waited.
+        Wait until a request may be sent to a target.
 
-        :raises Quarantined: if targets may crash by it.
+        :raises Quarantined: if the request is suspected of crashing targets.
         """
         await self._watcher.admit(request)
 
@@ -221,16 +223,18 @@
         is_once: bool = False,
     ) -> Call:
         """
-        Send a request and wait for the head of its answer.
+        Send a request and wait for the head of the response.
 
-        :param is_once: whether the request may not be repeated.
-        :returns: the call, with an answer of the target to read.
-        :raises Failure: if there is none; its ``ran`` tells whether the request may
-            have run.
+        :param is_once: whether the request must not be repeated.
+        :returns: the call, from which the body can be read.
+        :raises Failure: if there is no response; its ``ran`` tells whether the request
+            may have run.
         """
         if sending.time_left is not None and sending.time_left <= 0:
-            # The timer that ends the request is late, as the loop is.
-            raise CannotBeInTime("its time was over before it was sent", USUAL_PAUSE)
+            # The event loop runs late, and so does the timer that ends the request.
+            raise CannotBeInTime(
+                "deadline passed before the request was sent", USUAL_PAUSE
+            )
         await self._watcher.admit(request)
         message = self._dialect.sending(request, sending)
         return await self.send(request, estimate, message, is_once)
@@ -242,7 +246,7 @@
         message: HttpRequest,
         is_once: bool = False,
     ) -> Call:
-        """Send a message that the dialect wrote; see :meth:`begin`."""
+        """Send a request that the dialect encoded; see :meth:`begin`."""
         pool = self.pool(estimate)
         estimate.in_flight += 1
         try:
@@ -273,17 +277,19 @@
         return call
 
     async def _check(self, call: Call, head: ReplyHead) -> None:
-        """Raise what the head says against the answer."""
+        """Raise a failure if the head says that the target did not run the request."""
         verdict = self._dialect.verdict(head)
         if verdict is Verdict.NOT_RUN:
             await call.read_all()
             raise RejectedUnrun(f"status {head.status}")
         if verdict is Verdict.OTHER_INSTANCE:
             await call.read_all()
-            raise OtherInstance(f"another target has {call.estimate.target.address}")
+            raise OtherInstance(
+                f"another target now has address {call.estimate.target.address}"
+            )
 
     def succeeded(self, request: CallerRequest, estimate: TargetEstimate) -> None:
-        """Count a whole answer for its target and for what was asked."""
+        """Record a complete response for its target and its request."""
         estimate.outcome(is_good=True)
         self._watcher.answered(request)
 
@@ -295,7 +301,7 @@
         sent_at: float | None = None,
     ) -> None:
         """
-        Count a failed attempt against its target.
+        Record a failed attempt against its target.
 
         :param sent_at: seconds of the timer service; ``None`` if nothing was sent.
         """
@@ -313,7 +319,7 @@
             others=estimate.in_flight,
         )
         if isinstance(failure, OtherInstance):
-            # Whoever has the address now, this target is gone.
+            # Another instance has the address, so this target no longer exists.
             estimate.missing_since = now
             return
         estimate.outcome(is_good=False)
@@ -321,12 +327,12 @@
             estimate.refused_connection(now)
         if isinstance(failure, ConnectionBroken | ReplyInvalid):
             self._watcher.connection_lost(estimate)
-        is_sick = not isinstance(failure, RejectedUnrun | TargetFailed)
-        if is_sick and self._fleet.failed(estimate, now):
+        counts_for_ejection = not isinstance(failure, RejectedUnrun | TargetFailed)
+        if counts_for_ejection and self._fleet.failed(estimate, now):
             self._log.write(LogEvent.TARGET_EJECTED, target=target.target_id)
 
     def failed(self, request: CallerRequest, call: Call, status: int) -> None:
-        """Count a target's own failure, told by the status of its answer."""
+        """Record a failure that the target reported by the status of its response."""
         self.blame(
             request, call.estimate, TargetFailed(f"status {status}"), call.sent_at
         )
--- a/pimentolink/eventstream.py
+++ b/pimentolink/eventstream.py
@@ -1,4 +1,4 @@
-"""Cuts a stream of server-sent events into whole events."""
+"""Splits a stream of server-sent events into complete events."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 class Event(NamedTuple):
     """
-    One event.
+    A server-sent event.
 
-    :ivar data: all its bytes, with the empty line that ends it.
-    :ivar event_id: ``None`` if it names none.
+    :ivar data: all bytes of the event, with the empty line that ends it.
+    :ivar event_id: value of its ``id`` field; ``None`` if it has none.
     """
 
     data: bytes
@@ -22,21 +22,21 @@
 
 class EventSplitter:
     """
-    Collects bytes until an event is whole.
+    Buffers bytes until an event is complete.
 
-    Only whole events are passed on, so that a stream that breaks inside an event can
-    go on at another target without its caller seeing a torn one.
+    Only complete events are relayed, so that a stream that breaks within an event can
+    resume at another target without its caller receiving a partial event.
     """
 
     def __init__(self) -> None:
-        """Start before the first event."""
+        """Create a splitter with an empty buffer."""
         self._pending = b""
 
     def feed(self, data: bytes) -> list[Event]:
         """
-        Take bytes.
+        Add the next bytes of the stream.
 
-        :returns: the events that are whole now.
+        :returns: the events that these bytes complete.
         """
         whole, separator, self._pending = (self._pending + data).rpartition(EVENT_END)
         if not separator:
@@ -45,7 +45,7 @@
         return [Event(piece + EVENT_END, _event_id(piece)) for piece in pieces]
 
     def rest(self) -> bytes:
-        """Return what came of an event that is not whole."""
+        """Return the buffered bytes of an incomplete event."""
         return self._pending
 
 
@@ -58,10 +58,11 @@
 
 def is_after(event_id: bytes | None, last: bytes | None) -> bool:
     """
-    Tell whether an event is one that the caller does not have yet.
+    Return whether the caller does not have an event yet.
 
-    :param event_id: of the event; ids are rising numbers.
-    :param last: that the caller has.
+    :param event_id: id of the event; ids are increasing numbers. Others are only
+        compared for equality.
+    :param last: id of the last event that the caller has.
     """
     if event_id is None or last is None:
         return True
--- a/pimentolink/forwarder.py
+++ b/pimentolink/forwarder.py
@@ -1,4 +1,4 @@
-"""Takes a caller's request to its final answer."""
+"""Routes each caller's request and sends its final response."""
 
 from __future__ import annotations
 
@@ -33,45 +33,45 @@
 
 
 class Responder(Protocol):
-    """The caller's connection, for one answer."""
+    """Sends one response on the caller's connection."""
 
     @property
     def has_begun(self) -> bool:
-        """Whether the answer's head is out."""
+        """Whether the head of the response was written."""
 
     def begin(self, status: int, headers: Headers) -> None:
-        """Write the head of an answer of unknown length."""
+        """Write the head of a response of unknown length."""
 
     def write(self, data: bytes) -> None:
-        """Write on."""
+        """Write the next bytes of the body."""
 
     def finish(self) -> None:
-        """End the answer as complete."""
+        """End the body, which completes the response."""
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write a whole answer."""
+        """Write a complete response."""
 
     def abort(self) -> None:
-        """Cut the answer off, so that it does not look complete."""
+        """Close the connection, so that the response does not look complete."""
 
     def on_pause(self, callback: Callable[[bool], None]) -> None:
-        """Ask to be told when the caller stops reading and when it goes on."""
+        """Set the callback for when the caller stops or resumes reading."""
 
 
-# Learns that a request of an organisation began to run, and when, in seconds of the
-# timer service.
-OnRun = Callable[[str, float], None]
+# Called with an organisation and the time, in seconds of the timer service, at which
+# one of its requests began to run.
+RunCallback = Callable[[str, float], None]
 
 
-def _not_counted(organisation: str, began_at: float) -> None:
-    """Count nothing."""
+def _ignore_run(organisation: str, began_at: float) -> None:
+    """Do nothing."""
 
 
 class Work:
     """
-    One request on its way.
+    A request that is being served.
 
-    :ivar due_at: when its final answer is due, in seconds of the timer service.
+    :ivar due_at: deadline of the final response, in seconds of the timer service.
     """
 
     def __init__(
@@ -82,18 +82,19 @@
         table: RoutingTable,
         responder: Responder,
         organisation: Organisation | None = None,
-        on_run: OnRun = _not_counted,
+        on_run: RunCallback = _ignore_run,
     ) -> None:
         """
-        Begin without an attempt.
-
-        :param request: what the caller asked.
-        :param route: that it matched.
-        :param service: that the route gave it to.
-        :param table: the configuration that decided.
-        :param responder: where the answer goes.
-        :param organisation: that asks; ``None`` where none is asked for.
-        :param on_run: counts it for the organisation once it begins to run.
+        Start without an attempt.
+
+        :param request: the caller's request.
+        :param route: the route that it matched.
+        :param service: the service that the route chose.
+        :param table: the routing table with that route.
+        :param responder: sends the response.
+        :param organisation: the authenticated organisation; ``None`` if the route
+            needs no API key.
+        :param on_run: counts the request for its organisation once it begins to run.
         """
         self.request = request
         self.route = route
@@ -104,17 +105,19 @@
         self.first_event_at: float | None = None
         self._has_begun_run = False
         self._on_run = on_run
-        patience = route.timeout
+        timeout = route.timeout
         if request.patience is not None:
-            patience = min(patience, request.patience)
-        self.due_at = request.arrived_at + patience
+            timeout = min(timeout, request.patience)
+        self.due_at = request.arrived_at + timeout
         self.priority = route.priority
         if organisation is not None and organisation.priority is not None:
             self.priority = organisation.priority
 
     def run_began(self, began_at: float) -> None:
         """
-        Learn that a target began to run the request, for the first time or again.
+        Record that a target began to run the request.
+
+        Called for each run; only the first is counted.
 
         :param began_at: seconds of the timer service.
         """
@@ -123,7 +126,7 @@
             self._on_run(self.request.organisation, began_at)
 
     def time_left(self, now: float) -> float:
-        """Tell the seconds until the final answer is due."""
+        """Return the seconds until the deadline of the final response."""
         return self.due_at - now
 
 
@@ -137,10 +140,10 @@
 )
 
 
-def _as_asked_by(
+def _with_organisation(
     organisation: Organisation | None, request: CallerRequest, table: RoutingTable
 ) -> CallerRequest:
-    """Name who asks, and drop the API key, which nothing later may see."""
+    """Set the organisation, and remove the API key, which no later step may see."""
     name = organisation.name if organisation is not None else ""
     http = request.http
     if table.api_keys is not None:
@@ -149,44 +152,44 @@
     return request._replace(http=http, organisation=name, fingerprint=fingerprint)
 
 
-class WorkKind(Protocol):
-    """How one kind of work is done."""
+class WorkHandler(Protocol):
+    """Serves requests of one kind."""
 
     def serve(self, work: Work) -> Coroutine[Any, Any, None]:
         """
-        Answer a request.
+        Serve a request.
 
-        :raises Failure: if there is no answer of a target.
+        :raises Failure: if no target gave a response.
         """
 
 
 class Forwarder:
-    """Matches requests with routes, has them served, gives the rest their failure."""
+    """Admits requests, passes them to their handler and answers those that fail."""
 
     def __init__(
         self,
         tables: RoutingTables,
         authenticator: Authenticator,
         dialect: Dialect,
-        generations: WorkKind,
-        calls: WorkKind,
+        generations: WorkHandler,
+        calls: WorkHandler,
         timers: Timers,
         random: Random,
         log: Log,
         metrics: Metrics,
     ) -> None:
         """
-        Prepare.
+        Create a forwarder.
 
-        :param tables: the configuration in force.
-        :param authenticator: tells who asks.
-        :param dialect: reads requests.
-        :param generations: serves what a model's engine answers.
-        :param calls: serves all else.
+        :param tables: holds the current routing table.
+        :param authenticator: finds the organisation of an API key.
+        :param dialect: parses requests.
+        :param generations: serves requests to model engines.
+        :param calls: serves all other requests.
         :param timers: the timer service.
-        :param random: seeded source, for split routes.
-        :param log: where events go.
-        :param metrics: where figures go.
+        :param random: seeded source, for routes split between services.
+        :param log: records the outcome of each request.
+        :param metrics: receives counts and durations.
         """
         self._tables = tables
         self._authenticator = authenticator
@@ -197,15 +200,15 @@
         self._random = random
         self._log = log
         self._metrics = metrics
-        self.on_run: OnRun = _not_counted
+        self.on_run: RunCallback = _ignore_run
         self.in_work = 0
         self.is_closing = False
 
     async def handle(self, http: HttpRequest, responder: Responder) -> None:
         """
-        Answer one request.
+        Serve one request.
 
-        :param http: as it came, with its whole body.
+        :param http: the request as received, with its complete body.
         :param responder: the caller's connection.
         """
         work = self._admit(http, responder)
@@ -226,7 +229,7 @@
         if isinstance(current, Err):
             return current
         if self.is_closing:
-            return Err(Draining("this gateway is about to end", USUAL_PAUSE))
+            return Err(Draining("this gateway is shutting down", USUAL_PAUSE))
         found = self._dialect.read_request(http, self._timers.now())
         if isinstance(found, Err):
             return found
@@ -235,10 +238,12 @@
         route = table.match(request.host, request.path)
         if isinstance(route, Err):
             return route
-        asker = self._authenticator.authenticate(table, route.ok_value, http.headers)
-        if isinstance(asker, Err):
-            return asker
-        request = _as_asked_by(asker.ok_value, request, table)
+        authenticated = self._authenticator.authenticate(
+            table, route.ok_value, http.headers
+        )
+        if isinstance(authenticated, Err):
+            return authenticated
+        request = _with_organisation(authenticated.ok_value, request, table)
         service = route.ok_value.pick_service(self._random)
         return Ok(
             Work(
@@ -247,33 +252,35 @@
                 service,
                 table,
                 responder,
-                asker.ok_value,
+                authenticated.ok_value,
                 self.on_run,
             )
         )
 
     async def _serve(self, work: Work) -> None:
         self._metrics.count("requests", work.route.name)
-        kind = self._generations if work.route.is_generation else self._calls
+        handler = self._generations if work.route.is_generation else self._calls
         now = self._timers.now()
-        serving = kind.serve(work)
+        serving = handler.serve(work)
         try:
             await with_timeout(self._timers, max(0.0, work.time_left(now)), serving)
         except TimeoutError:
-            unserved = CannotBeInTime("no target had room in time", USUAL_PAUSE)
-            self._fail(work, work.attempts.expired(unserved))
+            no_capacity = CannotBeInTime(
+                "no target had capacity before the deadline", USUAL_PAUSE
+            )
+            self._fail(work, work.attempts.expired(no_capacity))
         except Failure as failure:
             self._fail(work, work.attempts.final(failure))
         except CancelledError:
-            self._left(work)
+            self._log_cancelled(work)
             raise
         else:
-            self._answered(work)
+            self._record_answer(work)
 
-    def _left(self, work: Work) -> None:
-        """Tell where the work of a caller that left was, which explains its wait."""
+    def _log_cancelled(self, work: Work) -> None:
+        """Log which targets a request was at when its caller disconnected."""
         now = self._timers.now()
-        self._tell(
+        self._log_outcome(
             LogEvent.WORK_CANCELLED,
             work,
             fingerprint=work.request.fingerprint,
@@ -282,14 +289,14 @@
             left=round(work.time_left(now), 3),
         )
 
-    def _answered(self, work: Work) -> None:
+    def _record_answer(self, work: Work) -> None:
         now = self._timers.now()
         took = now - work.request.arrived_at
         first = (work.first_event_at or now) - work.request.arrived_at
         self._metrics.count("answered", work.route.name)
         self._metrics.record("answer", took)
         self._metrics.record("first_event", first)
-        self._tell(
+        self._log_outcome(
             LogEvent.ANSWERED,
             work,
             first=round(first, 3),
@@ -298,7 +305,7 @@
 
     def _fail(self, work: Work, failure: Failure) -> None:
         self._metrics.count("failed", failure.code)
-        self._tell(
+        self._log_outcome(
             LogEvent.REQUEST_FAILED,
             work,
             fingerprint=work.request.fingerprint,
@@ -312,8 +319,8 @@
         else:
             answer_failure(work.responder, failure)
 
-    def _tell(self, event: LogEvent, work: Work, **outcome: object) -> None:
-        """Write the one line that tells how work ended, with what decided it."""
+    def _log_outcome(self, event: LogEvent, work: Work, **outcome: object) -> None:
+        """Write the log line for the outcome of a request and what led to it."""
         self._log.write(
             event,
             request=work.request.request_id,
@@ -339,10 +346,10 @@
 
 def answer_failure(responder: Responder, failure: Failure) -> None:
     """
-    Write a failure of the system's own as an answer.
+    Send a failure as the response.
 
     :param responder: the caller's connection.
-    :param failure: tells status and pause.
+    :param failure: gives the status and the seconds for ``Retry-After``.
     """
     headers: list[tuple[bytes, bytes]] = [(b"Content-Type", b"text/plain")]
     if failure.status in (429, 503):
@@ -353,6 +360,6 @@
     responder.answer(failure.status, tuple(headers), f"{failure}\n".encode())
 
 
-def pass_on(responder: Responder, reply: HttpReply) -> None:
-    """Give a target's whole answer to the caller."""
+def forward_reply(responder: Responder, reply: HttpReply) -> None:
+    """Send a target's complete response to the caller."""
     responder.answer(reply.head.status, end_to_end(reply.head.headers), reply.body)
--- a/pimentolink/generation.py
+++ b/pimentolink/generation.py
@@ -1,4 +1,4 @@
-"""Serves requests to model engines: reading, writing, relaying, resuming."""
+"""Serves requests to model engines: prefill, decode, relaying and resuming."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     StreamBroken,
 )
 from pimentolink.eventstream import EventSplitter, is_after
-from pimentolink.forwarder import Work, pass_on
+from pimentolink.forwarder import Work, forward_reply
 from pimentolink.httptypes import HttpReply, end_to_end
 from pimentolink.logs import Log, LogEvent
 from pimentolink.placement import MAX_SIZE, Placer, SizeScale, WaitingPrompt
@@ -29,57 +29,58 @@
 from pimentolink.targetestimate import TargetEstimate
 from pimentolink.timers import Timers, with_timeout
 
-# A reading that takes this many times what was predicted, and this many seconds more,
-# is given up and begun elsewhere: its engine crashed, hangs or has turned slow.
-READING_PATIENCE = 3.0
-READING_GRACE = 0.6
-# Priorities of engines go from 0 to 9.
+# A prefill is abandoned and started on another engine once it takes longer than the
+# predicted time multiplied by this factor, plus this margin in seconds: its engine
+# crashed, hangs or has become slow.
+PREFILL_TIMEOUT_FACTOR = 3.0
+PREFILL_TIMEOUT_MARGIN = 0.6
+# Engines accept priorities from 0, the most urgent, to 9.
 LOWEST_PRIORITY = 9
 
 
-class _Prepared(NamedTuple):
+class _Prefilled(NamedTuple):
     """
-    A prompt that was read.
+    A prompt after its prefill.
 
-    :ivar reader: the engine that holds its KV cache.
+    :ivar prefill_engine: the engine that holds its KV cache.
     """
 
     prompt: PrefilledPrompt
-    reader: TargetEstimate
+    prefill_engine: TargetEstimate
 
 
 class Generations:
     """
-    Requests that a model's engine answers.
+    Serves requests to model engines.
 
-    The prompt waits for an engine with room. If that engine only reads, another one
-    fetches the KV cache and writes the answer.
+    The prompt waits for an engine with capacity. If that engine only runs prefills,
+    another engine fetches the KV cache and runs the decode.
     """
 
     def __init__(
         self,
         caller: Caller,
         dialect: Dialect,
-        readings: PrefillScheduler,
+        prefill_scheduler: PrefillScheduler,
         placer: Placer,
         retry_limiter: RetryLimiter,
         timers: Timers,
         log: Log,
     ) -> None:
         """
-        Prepare.
+        Create a handler.
 
-        :param caller: makes calls.
-        :param dialect: reads answers.
-        :param readings: where prompts wait.
-        :param placer: chooses engines that write.
-        :param retry_limiter: bounds repeated attempts.
+        :param caller: sends requests to targets.
+        :param dialect: parses responses.
+        :param prefill_scheduler: queues prompts.
+        :param placer: chooses engines for the decode.
+        :param retry_limiter: limits repeated attempts.
         :param timers: the timer service.
-        :param log: where events go.
+        :param log: records streams that broke.
         """
         self._caller = caller
         self._dialect = dialect
-        self._readings = readings
+        self._prefill_scheduler = prefill_scheduler
         self._placer = placer
         self._retry_limiter = retry_limiter
         self._timers = timers
@@ -87,19 +88,19 @@
         self._sizes = SizeScale()
 
     async def serve(self, work: Work) -> None:
-        """Answer a request."""
+        """Serve a request."""
         self._retry_limiter.earn(work)
         relay = _Relay(work, self._timers)
         last: Failure | None = None
         while True:
-            if relay.tries and not self._may_go_on(work):
+            if relay.attempt_count and not self._may_retry(work):
                 break
             try:
                 await self._try(work, relay)
             except Failure as failure:
                 last = failure
                 if relay.has_begun:
-                    self._tell_broken(work, relay, failure)
+                    self._log_broken_stream(work, relay, failure)
                 if isinstance(failure, NoTarget) or failure.retry_after is not None:
                     break
                 continue
@@ -109,10 +110,10 @@
             raise StreamBroken(str(last))
         raise last
 
-    def _may_go_on(self, work: Work) -> bool:
+    def _may_retry(self, work: Work) -> bool:
         return work.attempts.may_repeat() and work.time_left(self._timers.now()) > 0
 
-    def _tell_broken(self, work: Work, relay: _Relay, failure: Failure) -> None:
+    def _log_broken_stream(self, work: Work, relay: _Relay, failure: Failure) -> None:
         self._log.write(
             LogEvent.STREAM_RESUMED,
             request=work.request.request_id,
@@ -122,27 +123,28 @@
         )
 
     async def _try(self, work: Work, relay: _Relay) -> None:
-        """Read the prompt, have the answer written and relay it."""
+        """Make one attempt: prefill, decode, and relaying the response."""
         await self._caller.admit(work.request)
-        ticket = await self._readings.wait(self._waiting(work, relay))
+        ticket = await self._prefill_scheduler.wait(self._waiting_prompt(work, relay))
         if ticket.placement.is_prefill_only:
-            prepared = await self._read(work, ticket, relay)
-            call = await self._write(work, prepared, relay)
+            prefilled = await self._prefill(work, ticket, relay)
+            call = await self._decode(work, prefilled, relay)
             await self._relay(work, call, relay)
             return
-        call = await self._read_and_write(work, ticket, relay)
+        call = await self._prefill_and_decode(work, ticket, relay)
         await self._relay(work, call, relay)
 
-    def _waiting(self, work: Work, relay: _Relay) -> WaitingPrompt:
+    def _waiting_prompt(self, work: Work, relay: _Relay) -> WaitingPrompt:
         request, route = work.request, work.route
-        is_retry = relay.tries > 0
-        relay.tries += 1
+        is_retry = relay.attempt_count > 0
+        relay.attempt_count += 1
         arrived_at = self._timers.now() if is_retry else request.arrived_at
         size = self._sizes.worth(
             route.name, request.prompt_tokens, request.output_tokens
         )
         if relay.has_begun:
-            # Its caller sees a pause and soon gives up; nothing else is as urgent.
+            # The caller's stream has stalled, and callers soon give up on a stalled
+            # stream, so nothing else is as urgent.
             size = MAX_SIZE
         return WaitingPrompt(
             request_id=request.request_id,
@@ -166,87 +168,93 @@
             last_event=relay.last_event,
         )
 
-    async def _read(self, work: Work, ticket: Ticket, relay: _Relay) -> _Prepared:
-        """Have the prompt read by an engine that leaves the answer to another."""
-        reader = ticket.placement.estimate
-        patience = READING_PATIENCE * ticket.expected + READING_GRACE
+    async def _prefill(self, work: Work, ticket: Ticket, relay: _Relay) -> _Prefilled:
+        """Run the prefill on an engine that leaves the decode to another."""
+        prefill_engine = ticket.placement.estimate
+        timeout = PREFILL_TIMEOUT_FACTOR * ticket.expected + PREFILL_TIMEOUT_MARGIN
         is_good = False
-        is_repeat = relay.readings > 0
+        is_repeat = relay.prefill_attempts > 0
         try:
             attempt = self._retry_limiter.spend(work, is_repeat)
-            relay.readings += 1
+            relay.prefill_attempts += 1
             with attempt:
-                reading = self._read_at(work, ticket)
-                prepared = await with_timeout(self._timers, patience, reading)
+                prefill = self._prefill_at(work, ticket)
+                prefilled = await with_timeout(self._timers, timeout, prefill)
             is_good = True
         except UNSENT:
-            relay.readings -= 1
+            relay.prefill_attempts -= 1
             raise
         except TimeoutError:
-            failure = ConnectionBroken(f"no reading within {patience:.2f} s")
-            self._caller.blame(work.request, reader, failure, ticket.began_at)
+            failure = ConnectionBroken(f"prefill did not end within {timeout:.2f} s")
+            self._caller.blame(work.request, prefill_engine, failure, ticket.began_at)
             raise failure from None
         finally:
-            self._readings.end(ticket, is_good)
-        reader.outcome(is_good=True)
-        return prepared
+            self._prefill_scheduler.end(ticket, is_good)
+        prefill_engine.outcome(is_good=True)
+        return prefilled
 
-    async def _read_at(self, work: Work, ticket: Ticket) -> _Prepared:
-        reader = ticket.placement.estimate
+    async def _prefill_at(self, work: Work, ticket: Ticket) -> _Prefilled:
+        prefill_engine = ticket.placement.estimate
         sending = Sending(
-            target_id=reader.target.target_id,
+            target_id=prefill_engine.target.target_id,
             time_left=work.time_left(self._timers.now()),
             priority=min(LOWEST_PRIORITY, work.priority),
             is_prefill=True,
             copy_from=ticket.placement.copy_from,
         )
-        call = await self._caller.begin(work.request, reader, sending)
+        call = await self._caller.begin(work.request, prefill_engine, sending)
         try:
             reply = await call.read_all()
         finally:
             call.close()
         if reply.head.status != 200:
             self._caller.failed(work.request, call, reply.head.status)
-            raise ReplyInvalid(f"a reading's status {reply.head.status}")
-        return _Prepared(self._dialect.read_prompt(reply).unwrap(), reader)
+            raise ReplyInvalid(f"prefill returned status {reply.head.status}")
+        return _Prefilled(self._dialect.read_prompt(reply).unwrap(), prefill_engine)
 
-    async def _write(self, work: Work, prepared: _Prepared, relay: _Relay) -> Call:
+    async def _decode(self, work: Work, prefilled: _Prefilled, relay: _Relay) -> Call:
         """
-        Have the answer written by an engine that fetches the KV cache.
+        Run the decode on an engine that fetches the KV cache.
 
-        One that refuses the connection leaves the KV cache to the next.
+        An engine that refuses the connection has not fetched the KV cache, so the
+        next one still can.
         """
         while True:
             try:
-                return await self._write_at_best(work, prepared, relay)
+                return await self._decode_at_best(work, prefilled, relay)
             except NotListening:
                 continue
             except Failure as failure:
                 if not failure.ran:
-                    self._drop_cache(work, prepared)
+                    self._drop_cache(work, prefilled)
                 raise
 
-    async def _write_at_best(
-        self, work: Work, prepared: _Prepared, relay: _Relay
+    async def _decode_at_best(
+        self, work: Work, prefilled: _Prefilled, relay: _Relay
     ) -> Call:
-        reader = prepared.reader
-        if reader.is_replaced:
-            # Its next life may give the same name to another request's KV cache.
-            raise RejectedUnrun("the engine that read the prompt restarted")
+        prefill_engine = prefilled.prefill_engine
+        if prefill_engine.is_replaced:
+            # The restarted process may use the same handle for another request's KV
+            # cache.
+            raise RejectedUnrun("the engine that ran the prefill restarted")
         now = self._timers.now()
-        writer = self._placer.writer(work.service, reader.target.data_centre, now)
-        if writer is None:
-            raise NoTarget(f"no engine of {work.service} writes answers", 0.5)
-        address = reader.target.address
-        sending = self._sending(work, writer, relay)._replace(
-            cache_source=self._dialect.cache_source(address, prepared.prompt)
+        decode_engine = self._placer.writer(
+            work.service, prefill_engine.target.data_centre, now
         )
-        call = await self._run(work, writer, sending)
-        writer.fetched(work.request.parts)
+        if decode_engine is None:
+            raise NoTarget(f"no engine of {work.service} runs decodes", 0.5)
+        address = prefill_engine.target.address
+        sending = self._sending(work, decode_engine, relay)._replace(
+            cache_source=self._dialect.cache_source(address, prefilled.prompt)
+        )
+        call = await self._run(work, decode_engine, sending)
+        decode_engine.fetched(work.request.parts)
         return call
 
-    async def _read_and_write(self, work: Work, ticket: Ticket, relay: _Relay) -> Call:
-        """Have one engine read the prompt and write the answer."""
+    async def _prefill_and_decode(
+        self, work: Work, ticket: Ticket, relay: _Relay
+    ) -> Call:
+        """Run prefill and decode on one engine."""
         estimate = ticket.placement.estimate
         is_good = False
         try:
@@ -255,13 +263,13 @@
             call = await self._run(work, estimate, sending)
             is_good = True
         finally:
-            self._readings.end(ticket, is_good)
+            self._prefill_scheduler.end(ticket, is_good)
         return call
 
     async def _run(
         self, work: Work, estimate: TargetEstimate, sending: Sending
     ) -> Call:
-        """Send the request to be run, and wait for the head of the answer."""
+        """Send the request to an engine and wait for the head of the response."""
         is_once = work.route.repeatability is Repeatability.ONCE
         is_repeat = work.attempts.count > 0
         attempt = self._retry_limiter.spend(work, is_repeat)
@@ -277,33 +285,36 @@
         work.attempts.ran()
         return call
 
-    def _drop_cache(self, work: Work, prepared: _Prepared) -> None:
-        """Free a KV cache that nobody will fetch, unless it went with its engine."""
-        reader = prepared.reader
-        if reader.is_replaced:
+    def _drop_cache(self, work: Work, prefilled: _Prefilled) -> None:
+        """Free a KV cache that no engine will fetch, unless its engine restarted."""
+        prefill_engine = prefilled.prefill_engine
+        if prefill_engine.is_replaced:
             return
-        message = self._dialect.drop_cache(reader.target.address, prepared.prompt)
+        message = self._dialect.drop_cache(
+            prefill_engine.target.address, prefilled.prompt
+        )
 
         async def drop() -> None:
-            call = await self._caller.send(work.request, reader, message)
+            call = await self._caller.send(work.request, prefill_engine, message)
             try:
                 await call.read_all()
             finally:
                 call.close()
 
         dropping = Deferred.fromCoroutine(drop())
-        # Logged where it failed; the engine frees it by itself in the end.
+        # The client has logged the failure, and the engine frees an unfetched KV cache
+        # by itself after a while.
         dropping.addErrback(lambda failure: failure.trap(Failure))
 
     async def _relay(self, work: Work, call: Call, relay: _Relay) -> None:
-        """Pass the answer on."""
+        """Relay the response to the caller."""
         assert call.head is not None
         try:
             if self._dialect.verdict(call.head) is not Verdict.SUCCESS:
                 await self._relay_failure(work, call, relay)
                 return
             if not self._dialect.is_signed(call.head):
-                raise ReplyInvalid("a success that the engine does not vouch for")
+                raise ReplyInvalid("successful response is not signed")
             await relay.run(call)
         except Failure as failure:
             call.close()
@@ -320,14 +331,14 @@
         self._caller.failed(work.request, call, status)
         if relay.has_begun or (status >= 500 and work.attempts.may_repeat()):
             raise StreamBroken(f"status {status}")
-        pass_on(work.responder, reply)
+        forward_reply(work.responder, reply)
 
 
 class _Relay:
     """
-    The caller's stream over all engines that write it.
+    The caller's event stream, across all engines that produce parts of it.
 
-    Guards that the caller gets each event once and in order.
+    Guarantees that the caller gets each event once and in order.
     """
 
     def __init__(self, work: Work, timers: Timers) -> None:
@@ -335,11 +346,11 @@
         self._timers = timers
         self.last_event = work.request.last_event
         self.has_begun = False
-        self.tries = 0
-        self.readings = 0
+        self.attempt_count = 0
+        self.prefill_attempts = 0
 
     async def run(self, call: Call) -> None:
-        """Pass events on until the stream's end."""
+        """Relay events until the stream ends."""
         assert call.head is not None
         responder = self._work.responder
         responder.on_pause(call.pause)
--- a/pimentolink/httphead.py
+++ b/pimentolink/httphead.py
@@ -1,4 +1,4 @@
-"""Strict checks on the head of a caller's HTTP/1.1 request."""
+"""Strict validation of the head of a caller's HTTP/1.1 request."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 HEAD_END = b"\r\n\r\n"
 _FOLDED = re.compile(rb"\r\n[ \t]")
 _BARE_LINE_END = re.compile(rb"(?<!\r)\n|\r(?!\n)")
-_NOT_ALLOWED = re.compile(rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f-\xff]")
+_FORBIDDEN_BYTE = re.compile(rb"[\x00-\x08\x0b\x0c\x0e-\x1f\x7f-\xff]")
 _REQUEST_LINE = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+ /[!-~]* HTTP/1\.[01]")
 _FIELD = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*(.*?)[ \t]*")
 
@@ -22,16 +22,16 @@
     """
     Find the end of a request's head.
 
-    :param received: what came so far.
-    :param max_bytes: largest head that is taken.
-    :returns: length of the head; 0 while it is incomplete.
+    :param received: the bytes received so far.
+    :param max_bytes: maximum size of a head.
+    :returns: length of the head in bytes; 0 while it is incomplete.
     """
     end = received.find(HEAD_END)
     if end > max_bytes or (end < 0 and len(received) > max_bytes):
-        return Err(HeadTooLarge(f"the head is over {max_bytes} bytes"))
+        return Err(HeadTooLarge(f"the head exceeds {max_bytes} bytes"))
     if end >= 0:
         return Ok(end + len(HEAD_END))
-    # A last byte of CR may still get its LF.
+    # The LF after a CR at the end may not have been received yet.
     if _BARE_LINE_END.search(received.removesuffix(b"\r")):
         return Err(InvalidRequest("a line ends with a bare CR or LF"))
     return Ok(0)
@@ -39,21 +39,23 @@
 
 def check_head(head: bytes) -> InvalidRequest | None:
     """
-    Refuse what two HTTP parsers could read differently.
+    Reject a head that two HTTP parsers could interpret differently.
 
-    A request whose framing is ambiguous could carry a second one past the system
-    unseen (request smuggling).
+    With ambiguous framing, a request could hide a second one from this gateway
+    (request smuggling).
 
-    :param head: request line and fields, with the empty line that ends them.
-    :returns: what is wrong, or ``None``.
+    :param head: request line and header fields, with the empty line that ends them.
+    :returns: why the head is rejected, or ``None``.
     :source: RFC 9112, sections 2.2, 3, 5.2 and 6.3.
     """
     if _BARE_LINE_END.search(head):
         return InvalidRequest("a line ends with a bare CR or LF")
     if _FOLDED.search(head):
-        return InvalidRequest("a header is folded")
-    if _NOT_ALLOWED.search(head):
-        return InvalidRequest("the head holds a control character or one above 0x7e")
+        return InvalidRequest("obsolete line folding in a header")
+    if _FORBIDDEN_BYTE.search(head):
+        return InvalidRequest(
+            "the head contains a control character or a byte above 0x7e"
+        )
     request_line, *lines = head[: -len(HEAD_END)].split(b"\r\n")
     if not _REQUEST_LINE.fullmatch(request_line):
         return InvalidRequest("the request line is malformed")
@@ -72,13 +74,13 @@
     lengths = values_by_name.get(b"content-length", [])
     encodings = values_by_name.get(b"transfer-encoding", [])
     if len(values_by_name.get(b"host", [])) != 1:
-        return InvalidRequest("there is not exactly one Host")
+        return InvalidRequest("there must be exactly one Host header")
     if lengths and encodings:
-        return InvalidRequest("both a length and a transfer encoding")
+        return InvalidRequest("both Content-Length and Transfer-Encoding are present")
     if len(lengths) > 1 or (lengths and not re.fullmatch(rb"\d{1,15}", lengths[0])):
-        return InvalidRequest("the length is malformed")
+        return InvalidRequest("Content-Length is malformed or repeated")
     if encodings and [value.lower() for value in encodings] != [b"chunked"]:
-        return InvalidRequest("the transfer encoding is not exactly 'chunked'")
+        return InvalidRequest("Transfer-Encoding is not exactly 'chunked'")
     if encodings and request_line.endswith(b"HTTP/1.0"):
-        return InvalidRequest("a transfer encoding in HTTP/1.0")
+        return InvalidRequest("Transfer-Encoding in an HTTP/1.0 request")
     return None
--- a/pimentolink/httptypes.py
+++ b/pimentolink/httptypes.py
@@ -1,4 +1,4 @@
-"""HTTP messages as typed values, apart from connections."""
+"""HTTP messages as typed values, independent of connections."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
-# What concerns one connection only.
+# Hop-by-hop headers and others that apply to one connection only.
 # :source: RFC 9110, section 7.6.1.
 CONNECTION_HEADERS = frozenset(
     {
@@ -25,10 +25,10 @@
 
 def header_value(headers: Headers, name: bytes) -> bytes | None:
     """
-    Look a header up.
+    Return the value of a header.
 
     :param name: in lower case.
-    :returns: the first value, or ``None``.
+    :returns: the first value, or ``None`` if the header is missing.
     """
     for found, value in headers:
         if found.lower() == name:
@@ -37,7 +37,7 @@
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Drop the headers that concern one connection, and those that it lists."""
+    """Remove hop-by-hop headers, including those listed in ``Connection``."""
     listed = header_value(headers, b"connection") or b""
     dropped = {name.strip().lower() for name in listed.split(b",")}
     dropped |= CONNECTION_HEADERS
@@ -46,10 +46,10 @@
 
 class HttpRequest(NamedTuple):
     """
-    A whole request.
+    A complete request.
 
     :ivar path: path and query as sent.
-    :ivar headers: names as sent, in order, without those of the connection.
+    :ivar headers: in order, with the names as sent.
     """
 
     method: bytes
@@ -58,23 +58,23 @@
     body: bytes = b""
 
     def header(self, name: bytes) -> bytes | None:
-        """Look a header up by its name in lower case."""
+        """Return the value of a header, given its name in lower case."""
         return header_value(self.headers, name)
 
 
 class ReplyHead(NamedTuple):
-    """Status and headers of an answer."""
+    """Status and headers of a response."""
 
     status: int
     headers: Headers
 
     def header(self, name: bytes) -> bytes | None:
-        """Look a header up by its name in lower case."""
+        """Return the value of a header, given its name in lower case."""
         return header_value(self.headers, name)
 
 
 class HttpReply(NamedTuple):
-    """A whole answer."""
+    """A complete response."""
 
     head: ReplyHead
     body: bytes
--- a/pimentolink/jsondocument.py
+++ b/pimentolink/jsondocument.py
@@ -1,4 +1,4 @@
-"""Reads JSON documents whose writer may be faulty."""
+"""Decodes JSON documents from sources that are not trusted to be valid."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 from pimentolink.errors import DocumentInvalid
 from pimentolink.logs import Log, LogEvent
 
-Read = TypeVar("Read")
+T = TypeVar("T")
 
 
-def read_entry(key: str, document: bytes, kind: type[Read], log: Log) -> Read | None:
+def read_entry(key: str, document: bytes, kind: type[T], log: Log) -> T | None:
     """
-    Read what a gateway wrote under a key of the store.
+    Decode a document that a gateway wrote to the store.
 
-    :param log: learns of a document that is none.
-    :returns: ``None`` for such a document.
+    :param key: the key of the document in the store.
+    :param log: records an invalid document.
+    :returns: the value, or ``None`` if the document is invalid.
     """
     found = read_json(document, kind)
     if isinstance(found, Err):
@@ -28,13 +29,14 @@
     return found.ok_value
 
 
-def read_json(document: bytes, kind: type[Read]) -> Result[Read, DocumentInvalid]:
+def read_json(document: bytes, kind: type[T]) -> Result[T, DocumentInvalid]:
     """
-    Read a document as a typed value.
+    Decode a document to a typed value.
 
-    :param document: any bytes; nesting may be deeper than the interpreter allows.
-    :param kind: type of the value, with its own bounds.
-    :returns: the value, or what is wrong with the document.
+    :param document: any bytes; nesting may be deeper than the interpreter's recursion
+        limit.
+    :param kind: type of the value, with its constraints.
+    :returns: the value, or a failure that says why the document is invalid.
     """
     try:
         return Ok(msgspec.json.decode(document, type=kind))
--- a/pimentolink/plaincalls.py
+++ b/pimentolink/plaincalls.py
@@ -16,7 +16,7 @@
     RetryBudgetSpent,
 )
 from pimentolink.fleet import Fleet
-from pimentolink.forwarder import Work, pass_on
+from pimentolink.forwarder import Work, forward_reply
 from pimentolink.gatewaysettings import PlacementSettings
 from pimentolink.httptypes import HttpReply
 from pimentolink.retrylimiter import RetryLimiter
@@ -24,17 +24,19 @@
 from pimentolink.targetestimate import TargetEstimate
 from pimentolink.timers import Timers
 
-# Weight of a target's share of failures against its load, in full queues.
+# Cost of a target that fails every call, in the unit of the load: 1.0 means that all
+# of its slots are in use.
 FAILURE_WEIGHT = 2.0
 
 
 class PlainCalls:
     """
-    Calls whose answer comes whole.
+    Serves requests whose response is not streamed.
 
-    Load pattern: short calls over few targets with few slots, of which some fail part
-    of the calls. The target with the least load for its slots is asked; a call that
-    may be repeated is repeated elsewhere after a failure, inside the shared budget.
+    Load pattern: short calls to few targets with few slots, where some targets fail a
+    part of the calls. A call goes to the target with the lowest load per slot; after a
+    failure, a call that may be repeated goes to another target within the shared retry
+    budget.
     """
 
     def __init__(
@@ -48,14 +50,14 @@
         timers: Timers,
     ) -> None:
         """
-        Prepare.
+        Create a handler.
 
-        :param caller: makes calls.
-        :param dialect: reads answers.
+        :param caller: sends requests to targets.
+        :param dialect: parses responses.
         :param fleet: the targets.
-        :param retry_limiter: bounds repeated attempts.
-        :param settings: weights.
-        :param data_centre: where this gateway stands.
+        :param retry_limiter: limits repeated attempts.
+        :param settings: weights of the choice of a target.
+        :param data_centre: the data centre of this gateway.
         :param timers: the timer service.
         """
         self._caller = caller
@@ -67,7 +69,7 @@
         self._timers = timers
 
     async def serve(self, work: Work) -> None:
-        """Answer a request."""
+        """Serve a request."""
         self._retry_limiter.earn(work)
         last: Failure | HttpReply | None = None
         while True:
@@ -86,7 +88,7 @@
             if isinstance(last, HttpReply) and not self._is_repeatable(work, last):
                 break
         if isinstance(last, HttpReply):
-            pass_on(work.responder, last)
+            forward_reply(work.responder, last)
             return
         raise last or NoTarget(f"no target of {work.service} takes work", 0.5)
 
@@ -118,7 +120,7 @@
         estimate: TargetEstimate,
         attempt: AbstractContextManager[None],
     ) -> HttpReply | Failure:
-        """Make one attempt and tell how it ended."""
+        """Make one attempt and return its response or failure."""
         is_once = work.route.repeatability is Repeatability.ONCE
         work.attempts.sent(estimate.target.target_id)
         began_at = self._timers.now()
@@ -134,7 +136,7 @@
                 work.run_began(began_at)
             return failure
         except CancelledError:
-            # The target has it; nobody waits for what it says.
+            # The target may be running it, though no one waits for the response.
             work.run_began(began_at)
             raise
         work.attempts.ran()
@@ -157,7 +159,7 @@
             call.close()
         if self._dialect.verdict(reply.head) is Verdict.SUCCESS:
             if not self._dialect.is_signed(reply.head):
-                raise ReplyInvalid("a success that the target does not vouch for")
+                raise ReplyInvalid("successful response is not signed")
             self._caller.succeeded(request, estimate)
         elif reply.head.status >= 500:
             self._caller.failed(request, call, reply.head.status)
@@ -165,10 +167,10 @@
 
     async def _shielded(self, work: Work, estimate: TargetEstimate) -> HttpReply:
         """
-        Exchange without cutting the target off when the caller leaves.
+        Make the exchange, and let it finish if the caller disconnects.
 
-        A call that may not be repeated and was half done would leave its effects in
-        doubt.
+        Aborting a call that may not be repeated would leave it unknown which of its
+        effects took place.
         """
         waiter: Deferred[HttpReply] = Deferred()
         running = Deferred.fromCoroutine(self._exchange(work, estimate))
--- a/pimentolink/targethttp.py
+++ b/pimentolink/targethttp.py
@@ -26,18 +26,18 @@
 from pimentolink.settings import split_address
 from pimentolink.timers import Timer, Timers
 
-Accepts = Callable[[ReplyHead], bool]
-# Share of the time that a target grants idle connections for which they are used; the
-# rest covers the way there and a loop that runs late.
-IDLE_SHARE = 0.8
+ReplyMatcher = Callable[[ReplyHead], bool]
+# Share of a target's announced idle timeout during which an idle connection is still
+# used; the rest covers network latency and an event loop that runs late.
+IDLE_TIMEOUT_SHARE = 0.8
 
 
 def set_keep_alive(transport: Any, settings: ConnectionSettings) -> None:
     """
-    Have the system notice a peer that fell silent.
+    Enable TCP keep-alive, by which the kernel detects a peer that stopped responding.
 
-    :param transport: of a TCP connection.
-    :param settings: when probes go out and how many may be missed.
+    :param transport: the transport of a TCP connection.
+    :param settings: interval of the probes and how many may be missed.
     """
     transport.setTcpNoDelay(True)
     handle = transport.getHandle()
@@ -53,26 +53,26 @@
 
 class TargetConnection(Protocol):
     """
-    One connection, which carries one exchange at a time.
+    An HTTP/1.1 connection to a target, which carries one exchange at a time.
 
-    Guards that an answer is only given to the request it belongs to: bytes that come
-    while nothing is asked end the connection, and answers that name another request
-    are read over.
+    Guarantees that a response is only returned for the request it belongs to: bytes
+    received while no request is pending close the connection, and responses to another
+    request are discarded.
     """
 
     def __init__(self, settings: ConnectionSettings, timers: Timers) -> None:
         """
-        Wait for the connection to be made.
+        Create a connection that is not open yet.
 
-        :param settings: keep-alive probes.
+        :param settings: idle timeout and keep-alive probes.
         :param timers: the timer service.
         """
         self._settings = settings
         self._timers = timers
         self._parser: h11.Connection | None = None
-        self._accepts: Accepts = lambda head: True
+        self._accepts: ReplyMatcher = lambda head: True
         self._request: HttpRequest | None = None
-        self._is_skipping = False
+        self._is_discarding = False
         self._head: Deferred[ReplyHead] | None = None
         self._chunks: deque[bytes] = deque()
         self._reader: Deferred[bytes | None] | None = None
@@ -85,19 +85,20 @@
         self.on_closed: Callable[[TargetConnection], None] = lambda connection: None
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Set the socket up."""
+        """Configure the socket."""
         self.is_open = True
         set_keep_alive(self.transport, self._settings)
 
-    def send(self, request: HttpRequest, accepts: Accepts) -> Deferred[ReplyHead]:
+    def send(self, request: HttpRequest, accepts: ReplyMatcher) -> Deferred[ReplyHead]:
         """
-        Begin an exchange.
-
-        :param request: is written whole.
-        :param accepts: tells whether an answer belongs to this request.
-        :returns: the head of the answer.
-        :raises ConnectionBroken: if it breaks; the request may have been taken.
-        :raises ReplyInvalid: if what comes is no HTTP.
+        Send a request.
+
+        :param request: the complete request.
+        :param accepts: returns whether a response belongs to this request.
+        :returns: the head of the response.
+        :raises ConnectionBroken: if the connection breaks; the target may have
+            received the request.
+        :raises ReplyInvalid: if the response is not valid HTTP.
         """
         self.is_reusable = False
         self._has_ended = False
@@ -110,24 +111,24 @@
         return self._head
 
     def _start_parser(self, request: HttpRequest) -> bytes:
-        self._is_skipping = False
+        self._is_discarding = False
         self._parser = h11.Connection(h11.CLIENT)
         headers = [*request.headers]
         if request.body or request.method not in (b"GET", b"HEAD", b"DELETE"):
             headers.append((b"Content-Length", str(len(request.body)).encode()))
         head = h11.Request(method=request.method, target=request.path, headers=headers)
-        pieces = [self._parser.send(head)]
+        chunks = [self._parser.send(head)]
         if request.body:
-            pieces.append(self._parser.send(h11.Data(data=request.body)))
-        pieces.append(self._parser.send(h11.EndOfMessage()))
-        return b"".join(piece for piece in pieces if piece)
+            chunks.append(self._parser.send(h11.Data(data=request.body)))
+        chunks.append(self._parser.send(h11.EndOfMessage()))
+        return b"".join(chunk for chunk in chunks if chunk)
 
     def read(self) -> Deferred[bytes | None]:
         """
-        Read on in the answer.
+        Read the next bytes of the response body.
 
-        :returns: its next bytes, or ``None`` at its end.
-        :raises ConnectionBroken: if it ended early.
+        :returns: the bytes, or ``None`` at the end of the body.
+        :raises ConnectionBroken: if the connection breaks before the end.
         """
         self._reader = Deferred()
         reader = self._reader
@@ -136,40 +137,40 @@
 
     async def read_all(self, max_bytes: int) -> bytes:
         """
-        Read the rest of the answer.
+        Read the rest of the response body.
 
         :raises ReplyInvalid: if it is longer than ``max_bytes``.
         """
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
-        while (piece := await self.read()) is not None:
-            size += len(piece)
+        while (chunk := await self.read()) is not None:
+            size += len(chunk)
             if size > max_bytes:
                 self.abort()
-                raise ReplyInvalid(f"an answer over {max_bytes} bytes")
-            pieces.append(piece)
-        return b"".join(pieces)
+                raise ReplyInvalid(f"response exceeds {max_bytes} bytes")
+            chunks.append(chunk)
+        return b"".join(chunks)
 
     def abort(self) -> None:
-        """Close at once, so that the target drops what it works on."""
+        """Close at once, so that the target stops processing the request."""
         self.is_open = False
         if self.transport is not None:
             self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take bytes of the target."""
+        """Receive bytes from the target."""
         if self._parser is None:
             self.abort()
             return
         self._parser.receive_data(data)
-        self._pump()
+        self._process_events()
 
     def connectionLost(self, reason: TwistedFailure = connectionDone) -> None:  # noqa: N802
-        """Learn that the connection is gone."""
+        """Handle the loss of the connection."""
         self.is_open = False
         if self._parser is not None and reason.check(ConnectionDone):
             self._parser.receive_data(b"")
-            self._pump()
+            self._process_events()
         if not self._has_ended:
             self._fail(ConnectionBroken(reason.getErrorMessage()))
         self.on_closed(self)
@@ -178,7 +179,7 @@
         transport: Any = self.transport
         transport.write(data)
 
-    def _pump(self) -> None:
+    def _process_events(self) -> None:
         while self._parser is not None:
             try:
                 event = self._parser.next_event()
@@ -188,56 +189,60 @@
                 return
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 break
-            self._take(event)
+            self._handle_event(event)
         self._feed_reader()
 
-    def _take(self, event: Any) -> None:
+    def _handle_event(self, event: Any) -> None:
         if isinstance(event, h11.Response):
             head = ReplyHead(event.status_code, tuple(event.headers.raw_items()))
-            self._is_skipping = not self._accepts(head)
-            if not self._is_skipping:
-                self._take_head(head)
+            self._is_discarding = not self._accepts(head)
+            if not self._is_discarding:
+                self._handle_head(head)
         elif isinstance(event, h11.Data):
-            if not self._is_skipping:
+            if not self._is_discarding:
                 self._chunks.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            self._take_end()
+            self._handle_end()
         elif isinstance(event, h11.ConnectionClosed):
             self._parser = None
 
-    def _take_head(self, head: ReplyHead) -> None:
+    def _handle_head(self, head: ReplyHead) -> None:
         pending, self._head = self._head, None
         self._set_idle_limit(head)
         if pending is not None:
             pending.callback(head)
 
-    def _take_end(self) -> None:
+    def _handle_end(self) -> None:
         assert self._parser is not None
         assert self._request is not None
         rest, _ = self._parser.trailing_data
-        may_go_on = self._parser.their_state is h11.DONE
-        if self._is_skipping and may_go_on:
+        can_continue = self._parser.their_state is h11.DONE
+        if self._is_discarding and can_continue:
             self._start_parser(self._request)
-            if rest:  # no bytes would tell the parser that the connection ended
+            if rest:  # h11 takes empty data as the end of the connection
                 self._parser.receive_data(rest)
             return
         self._parser = None
-        if self._is_skipping:
-            self._fail(ReplyInvalid("an answer to another request, then the end"))
+        if self._is_discarding:
+            self._fail(
+                ReplyInvalid("connection ended after a response to another request")
+            )
             return
         self._has_ended = True
-        self.is_reusable = may_go_on and not rest and self.is_open
+        self.is_reusable = can_continue and not rest and self.is_open
         self.idle_since = self._timers.now()
         if not self.is_reusable and self.is_open:
             self.abort()
 
     def _set_idle_limit(self, head: ReplyHead) -> None:
-        """Stay well inside the time after which the target closes idle connections."""
-        told = head.header(b"keep-alive") or b""
-        for part in told.split(b","):
+        """Apply the idle timeout that the target announced in ``Keep-Alive``."""
+        keep_alive = head.header(b"keep-alive") or b""
+        for part in keep_alive.split(b","):
             name, _, value = part.strip().partition(b"=")
             if name.lower() == b"timeout" and value.isdigit():
-                self.idle_limit = min(self._settings.idle, int(value) * IDLE_SHARE)
+                self.idle_limit = min(
+                    self._settings.idle, int(value) * IDLE_TIMEOUT_SHARE
+                )
 
     def _fail(self, failure: ConnectionBroken | ReplyInvalid) -> None:
         if self._has_ended:
@@ -267,7 +272,7 @@
 
 
 class _ConnectionFactory(Factory):
-    """Makes the protocol of one connection."""
+    """Creates the protocol instance of each connection."""
 
     def __init__(self, settings: ConnectionSettings, timers: Timers) -> None:
         self._settings = settings
@@ -278,17 +283,17 @@
 
 
 class ConnectionPool:
-    """Connections to one address, bounded, kept for the next exchange."""
+    """A bounded pool of reusable connections to one address."""
 
     def __init__(
         self, reactor: Any, address: str, settings: ConnectionSettings, timers: Timers
     ) -> None:
         """
-        Start without connections.
+        Create an empty pool.
 
-        :param reactor: the loop.
-        :param address: of the target.
-        :param settings: patience and bounds.
+        :param reactor: the event loop.
+        :param address: host and port of the target.
+        :param settings: timeouts and limits.
         :param timers: the timer service.
         """
         self._settings = settings
@@ -300,38 +305,39 @@
         self._idle: list[TargetConnection] = []
         self._timer: Timer | None = None
         self.is_closed = False
-        self.most = settings.most
+        self.max_connections = settings.most
         self.count = 0
 
     async def acquire(self, max_idle: float | None = None) -> TargetConnection:
         """
-        Take an idle connection or open one.
+        Return an idle connection, or open one.
 
-        :param max_idle: seconds that it may have been idle; a request that may not
-            be repeated should not meet a connection that is about to be closed.
-        :raises NotConnected: if none can be opened; nothing was sent.
-        :raises ConnectionsExhausted: at the bound.
+        :param max_idle: seconds that the connection may have been idle, for a request
+            that must not be repeated: the target may be about to close an older one.
+        :raises NotConnected: if no connection can be opened; nothing was sent.
+        :raises ConnectionsExhausted: if the maximum number of connections is open.
         """
-        connection = self._take_idle(max_idle)
+        connection = self._pop_idle(max_idle)
         if connection is not None:
             return connection
-        if self.count >= self.most:
+        if self.count >= self.max_connections:
             raise ConnectionsExhausted(f"{self.count} connections are open")
         return await self.open()
 
-    def _take_idle(self, max_idle: float | None) -> TargetConnection | None:
+    def _pop_idle(self, max_idle: float | None) -> TargetConnection | None:
         """
-        Take the connection that was used last.
+        Take the most recently used idle connection.
 
-        One that is too old for this request is kept for others, which saves opening
-        connections in quiet times.
+        A connection that was idle too long for this request stays in the pool for
+        others, so that fewer connections are opened under low load. It is used all the
+        same if no other connection may be opened.
         """
         while self._idle:
             connection = self._idle[-1]
             idle = self._timers.now() - connection.idle_since
             if connection.is_open and idle < connection.idle_limit:
                 is_too_old = max_idle is not None and idle >= max_idle
-                if is_too_old and self.count < self.most:
+                if is_too_old and self.count < self.max_connections:
                     return None
                 return self._idle.pop()
             self._idle.pop()
@@ -342,8 +348,8 @@
         """
         Open a connection.
 
-        :raises NotListening: if the target refuses it.
-        :raises NotConnected: if it cannot be made otherwise.
+        :raises NotListening: if the target refuses the connection.
+        :raises NotConnected: if the connection fails for another reason.
         """
         self.count += 1
         factory = _ConnectionFactory(self._settings, self._timers)
@@ -358,26 +364,26 @@
         except BaseException:
             self.count -= 1
             raise
-        connection.on_closed = self._closed
+        connection.on_closed = self._on_connection_closed
         return connection
 
     def release(self, connection: TargetConnection) -> None:
-        """Give a connection back after its exchange."""
+        """Return a connection to the pool after its exchange."""
         if not connection.is_open or not connection.is_reusable or self.is_closed:
             connection.abort()
             return
         self._idle.append(connection)
         if self._timer is None:
-            self._timer = self._timers.call_later(1.0, self._close_stale)
+            self._timer = self._timers.call_later(1.0, self._close_expired)
 
     def close(self) -> None:
-        """Close idle connections; those in use close when given back."""
+        """Close idle connections now, and those in use once they are released."""
         self.is_closed = True
         for connection in self._idle:
             connection.abort()
         self._idle.clear()
 
-    def _close_stale(self) -> None:
+    def _close_expired(self) -> None:
         self._timer = None
         now = self._timers.now()
         for connection in list(self._idle):
@@ -385,23 +391,24 @@
                 self._idle.remove(connection)
                 connection.abort()
         if self._idle:
-            self._timer = self._timers.call_later(1.0, self._close_stale)
+            self._timer = self._timers.call_later(1.0, self._close_expired)
 
-    def _closed(self, connection: TargetConnection) -> None:
+    def _on_connection_closed(self, connection: TargetConnection) -> None:
         self.count -= 1
         if connection in self._idle:
             self._idle.remove(connection)
 
 
 async def exchange(
-    pool: ConnectionPool, request: HttpRequest, accepts: Accepts, max_bytes: int
+    pool: ConnectionPool, request: HttpRequest, accepts: ReplyMatcher, max_bytes: int
 ) -> HttpReply:
     """
-    Make one whole exchange.
+    Send a request and read the complete response.
 
-    :raises NotConnected: if nothing was sent.
-    :raises ConnectionBroken: if it ended early.
-    :raises ReplyInvalid: if the answer is none, or longer than ``max_bytes``.
+    :raises NotConnected: if no connection could be opened; nothing was sent.
+    :raises ConnectionBroken: if the connection breaks before the end.
+    :raises ReplyInvalid: if the response is not valid HTTP, or longer than
+        ``max_bytes``.
     """
     connection = await pool.acquire()
     try:
--- a/tests/test_targethttp.py
+++ b/tests/test_targethttp.py
@@ -148,7 +148,7 @@
     connection = TargetConnection(pool._settings, timers)
     connection.makeConnection(SocketTransport())
     pool.count += 1
-    connection.on_closed = pool._closed
+    connection.on_closed = pool._on_connection_closed
     connection.send(REQUEST, lambda head: True)
     connection.dataReceived(
         b"HTTP/1.1 200 OK\r\nKeep-Alive: %s\r\nContent-Length: 0\r\n\r\n" % keep_alive
