--- a/pimentolink/forwarder.py
+++ b/pimentolink/forwarder.py
@@ -278,7 +278,11 @@
             self._record_answer(work)
 
     def _log_cancelled(self, work: Work) -> None:
-        """Log which targets a request was at when its caller disconnected."""
+        """
+        Log where a request was when its caller disconnected.
+
+        Its targets and times show what the caller had been waiting for.
+        """
         now = self._timers.now()
         self._log_outcome(
             LogEvent.WORK_CANCELLED,
--- a/pimentolink/generation.py
+++ b/pimentolink/generation.py
@@ -221,7 +221,7 @@
         """
         while True:
             try:
-                return await self._decode_at_best(work, prefilled, relay)
+                return await self._try_decode(work, prefilled, relay)
             except NotListening:
                 continue
             except Failure as failure:
@@ -229,7 +229,7 @@
                     self._drop_cache(work, prefilled)
                 raise
 
-    async def _decode_at_best(
+    async def _try_decode(
         self, work: Work, prefilled: _Prefilled, relay: _Relay
     ) -> Call:
         prefill_engine = prefilled.prefill_engine
--- a/pimentolink/httptypes.py
+++ b/pimentolink/httptypes.py
@@ -49,7 +49,8 @@
     A complete request.
 
     :ivar path: path and query as sent.
-    :ivar headers: in order, with the names as sent.
+    :ivar headers: in order, with the names as sent; a request to a target has no
+        headers of the connection, and gets its ``Content-Length`` when it is written.
     """
 
     method: bytes
--- a/tests/jsonvalues.py
+++ b/tests/jsonvalues.py
@@ -1,4 +1,4 @@
-"""JSON documents for parsers: any, and those that are nearly right."""
+"""Strategies for JSON documents: arbitrary, truncated and nearly valid ones."""
 
 import msgspec
 from hypothesis import strategies as st
@@ -14,13 +14,13 @@
 )
 VALUES = st.recursive(
     SCALARS,
-    lambda inner: (
-        st.lists(inner, max_size=3)
-        | st.dictionaries(st.text(max_size=6), inner, max_size=3)
+    lambda children: (
+        st.lists(children, max_size=3)
+        | st.dictionaries(st.text(max_size=6), children, max_size=3)
     ),
     max_leaves=3,
 )
-# Any bytes, any JSON, and JSON that ends too early.
+# Arbitrary bytes, valid JSON, and truncated JSON.
 DOCUMENTS = st.one_of(
     st.binary(max_size=40),
     VALUES.map(msgspec.json.encode),
@@ -30,13 +30,15 @@
 )
 
 
-def likely(*names, **proper):
+def likely(*names, **valid):
     """
-    Make documents with fields that a parser looks for.
+    Return a strategy for documents with some of the fields that a parser reads.
 
-    :param names: fields that get any value.
-    :param proper: fields that mostly get the value given here.
+    :param names: fields with an arbitrary value.
+    :param valid: fields with the given value or an arbitrary one.
     """
-    kept = {name: st.just(value) | VALUES for name, value in proper.items()}
-    anything = dict.fromkeys(names, VALUES)
-    return st.fixed_dictionaries({}, optional=kept | anything).map(msgspec.json.encode)
+    valid_or_any = {name: st.just(value) | VALUES for name, value in valid.items()}
+    arbitrary = dict.fromkeys(names, VALUES)
+    return st.fixed_dictionaries({}, optional=valid_or_any | arbitrary).map(
+        msgspec.json.encode
+    )
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -29,8 +29,8 @@
 )
 
 
-class IdleWatcher:
-    """Lets every request through."""
+class PermissiveWatcher:
+    """Admits every request."""
 
     async def admit(self, request):
         pass
@@ -45,7 +45,7 @@
         pass
 
 
-class World:
+class CallerHarness:
     def __init__(self):
         self.reactor = MemoryReactor()
         self.fleet = fleet(target("t"))
@@ -54,7 +54,7 @@
             ConnectionSettings(),
             self.fleet,
             PlatformDialect(),
-            IdleWatcher(),
+            PermissiveWatcher(),
             ManualTimers(),
             Log(instance="g"),
             Metrics(),
@@ -63,38 +63,38 @@
     def begin(self, time_left):
         outcome = []
         estimate = self.fleet.targets_by_id["t"]
-        begun = self.caller.begin(REQUEST, estimate, Sending("t", time_left))
-        Deferred.fromCoroutine(begun).addBoth(outcome.append)
+        pending = self.caller.begin(REQUEST, estimate, Sending("t", time_left))
+        Deferred.fromCoroutine(pending).addBoth(outcome.append)
         return outcome
 
 
 @pytest.fixture
 def world():
-    return World()
+    return CallerHarness()
 
 
 class TestFingerprint:
-    def again(self, **changes):
+    def fingerprint(self, **changes):
         http = REQUEST.http._replace(**changes)
         return fingerprint_of(http, "h.example")
 
     def test_is_the_same_when_it_is_asked_again(self):
         headers = ((b"Host", b"h.example"), (b"Pimentolink-Request-Id", b"b"))
-        assert self.again(headers=headers) == self.again()
+        assert self.fingerprint(headers=headers) == self.fingerprint()
 
     @pytest.mark.parametrize(
         "changes", [{"body": b"x"}, {"path": b"/p/?a"}, {"method": b"POST"}]
     )
     def test_differs_with_what_is_asked(self, changes):
-        assert self.again(**changes) != self.again()
+        assert self.fingerprint(**changes) != self.fingerprint()
 
     def test_parts_of_a_request_do_not_run_into_each_other(self):
-        one = self.again(path=b"/p/a", body=b"b")
-        assert one != self.again(path=b"/p/", body=b"ab")
+        one = self.fingerprint(path=b"/p/a", body=b"b")
+        assert one != self.fingerprint(path=b"/p/", body=b"ab")
 
 
 class TestTimeLeft:
-    """Pattern: the loop runs late, so the timer that ends the request does too."""
+    """Failure: the event loop runs late, and so does the timer of the deadline."""
 
     @pytest.mark.parametrize("time_left", [0.0, -1.3])
     def test_request_whose_time_is_over_is_not_sent(self, world, time_left):
--- a/tests/test_eventstream.py
+++ b/tests/test_eventstream.py
@@ -1,4 +1,4 @@
-"""Whole events out of any pieces."""
+"""Event streams in any segmentation."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -12,15 +12,15 @@
 @given(cuts=st.lists(st.integers(0, sum(map(len, EVENTS))), max_size=12))
 def test_any_pieces_give_the_same_events(cuts):
     whole = b"".join(EVENTS)
-    ends = sorted({0, len(whole), *cuts})
+    offsets = sorted({0, len(whole), *cuts})
     splitter = EventSplitter()
-    found = [
+    events = [
         event
-        for start, end in zip(ends, ends[1:], strict=False)
+        for start, end in zip(offsets, offsets[1:], strict=False)
         for event in splitter.feed(whole[start:end])
     ]
-    assert [event.data for event in found] == EVENTS
-    assert [event.event_id for event in found] == [b"%d" % n for n in range(1, 8)]
+    assert [event.data for event in events] == EVENTS
+    assert [event.event_id for event in events] == [b"%d" % n for n in range(1, 8)]
     assert splitter.rest() == b""
 
 
--- a/tests/test_httphead.py
+++ b/tests/test_httphead.py
@@ -1,4 +1,4 @@
-"""Strict checks on heads; see the module of the same name."""
+"""Strict validation of request heads."""
 
 import h11
 import pytest
@@ -66,7 +66,7 @@
         assert isinstance(check_head(bad), InvalidRequest)
 
 
-HEAD_BYTES = st.lists(
+HEADER_LINES = st.lists(
     st.sampled_from(
         [
             b"Host: x",
@@ -90,13 +90,13 @@
 
 @settings(max_examples=10_000, deadline=None)
 @given(
-    lines=HEAD_BYTES,
+    lines=HEADER_LINES,
     ends=st.sampled_from([b"\r\n", b"\n", b"\r"]),
     noise=st.binary(max_size=6),
     at=st.integers(0, 80),
 )
 def test_what_passes_has_one_reading(lines, ends, noise, at):
-    """Whatever passes is read by the parser, with at most one framing."""
+    """The parser accepts every head that passes, with at most one framing."""
     text = ends.join([b"POST /p HTTP/1.1", *lines]) + b"\r\n\r\n"
     text = text[:at] + noise + text[at:]
     found = split_head(text, 16_384)
--- a/tests/test_targethttp.py
+++ b/tests/test_targethttp.py
@@ -23,10 +23,10 @@
 CUTS = st.lists(st.integers(0, 400), max_size=8)
 
 
-def reply(framing, pieces, name=b"mine"):
-    """Encode an answer in one of the ways that HTTP/1.1 knows."""
+def encode_reply(framing, pieces, request_id=b"mine"):
+    """Encode a response with one of the body framings of HTTP/1.1."""
     body = b"".join(pieces)
-    head = HEAD % name
+    head = HEAD % request_id
     if framing == "length":
         return head + b"Content-Length: %d\r\n\r\n%s" % (len(body), body)
     if framing == "end":
@@ -37,7 +37,7 @@
 
 
 class Exchange:
-    """One request on a connection, with what came of it."""
+    """One request on a connection, with its body or failure."""
 
     def __init__(self):
         self.connection = TargetConnection(ConnectionSettings(), ManualTimers())
@@ -51,13 +51,13 @@
         self.outcome = await self.connection.read_all(100_000)
 
     def _failed(self, failure):
-        # Any other error is a fault of the parser.
+        # Any other exception is a bug in the parser.
         failure.trap(ConnectionBroken, ReplyInvalid)
         self.outcome = failure.value
 
     def receive(self, data, cuts=()):
-        ends = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
-        for start, end in zip(ends, ends[1:], strict=False):
+        offsets = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
+        for start, end in zip(offsets, offsets[1:], strict=False):
             if self.connection.is_open:
                 self.connection.dataReceived(data[start:end])
 
@@ -72,10 +72,10 @@
 @settings(max_examples=10_000, deadline=None)
 @given(framing=st.sampled_from(FRAMINGS), pieces=PIECES, cuts=CUTS, old=st.booleans())
 def test_any_pieces_give_the_same_answer(framing, pieces, cuts, old):
-    """An answer to an earlier request may come before; it is read over."""
+    """A response to an earlier request may precede it and is discarded."""
     exchange = Exchange()
-    before = reply("length", [b"stale"], b"old") if old else b""
-    exchange.receive(before + reply(framing, pieces), cuts)
+    before = encode_reply("length", [b"stale"], b"old") if old else b""
+    exchange.receive(before + encode_reply(framing, pieces), cuts)
     exchange.close()
     assert exchange.outcome == b"".join(pieces)
 
@@ -89,9 +89,9 @@
     is_reset=st.booleans(),
 )
 def test_part_of_an_answer_never_looks_whole(framing, pieces, cuts, missing, is_reset):
-    """Only an answer that ends with its connection is whole at a clean end."""
+    """Only a body framed by the end of the connection is complete at a clean close."""
     exchange = Exchange()
-    whole = reply(framing, pieces)
+    whole = encode_reply(framing, pieces)
     part = whole[: max(0, len(whole) - missing)]
     exchange.receive(part, cuts)
     exchange.close(is_reset)
@@ -110,9 +110,9 @@
     at=st.integers(0, 300),
 )
 def test_damaged_answer_is_told_or_read(framing, pieces, cuts, noise, at):
-    """Whatever comes ends in an answer or in a typed error."""
+    """Any input leads to a response or to a typed failure."""
     exchange = Exchange()
-    whole = reply(framing, pieces)
+    whole = encode_reply(framing, pieces)
     exchange.receive(whole[:at] + noise + whole[at:], cuts)
     exchange.close()
     assert exchange.outcome is not None
@@ -121,13 +121,13 @@
 class TestExtraBytes:
     def test_bytes_that_nobody_asked_for_end_the_connection(self):
         exchange = Exchange()
-        exchange.receive(reply("length", [b"a"]) + b"HTTP/1.1 200 OK\r\n")
+        exchange.receive(encode_reply("length", [b"a"]) + b"HTTP/1.1 200 OK\r\n")
         assert exchange.outcome == b"a"
         assert not exchange.connection.is_reusable
 
     def test_bytes_on_an_idle_connection_end_it(self):
         exchange = Exchange()
-        exchange.receive(reply("length", [b"a"]))
+        exchange.receive(encode_reply("length", [b"a"]))
         assert exchange.connection.is_reusable
         exchange.receive(b"x")
         assert not exchange.connection.is_open
@@ -139,12 +139,12 @@
 
 
 def make_pool(timers, **settings):
-    found = ConnectionSettings(**settings)
-    return ConnectionPool(MemoryReactor(), "127.0.0.1:1", found, timers)
+    connection_settings = ConnectionSettings(**settings)
+    return ConnectionPool(MemoryReactor(), "127.0.0.1:1", connection_settings, timers)
 
 
 def used_connection(pool, timers, keep_alive=b"timeout=10"):
-    """A connection that carried one exchange and was given back."""
+    """Return a connection that was released to its pool after one exchange."""
     connection = TargetConnection(pool._settings, timers)
     connection.makeConnection(SocketTransport())
     pool.count += 1
@@ -158,7 +158,7 @@
 
 
 def acquire(pool, max_idle=None):
-    """Ask for a connection; ``None`` while one is being opened."""
+    """Acquire a connection; return ``None`` while one is being opened."""
     outcome = []
     pending = Deferred.fromCoroutine(pool.acquire(max_idle))
     pending.addBoth(outcome.append)
