--- a/pimentolink/clocksync.py
+++ b/pimentolink/clocksync.py
@@ -1,4 +1,4 @@
-"""Agrees with other gateways on the time of day."""
+"""Estimates the time of day from the wall clocks of all gateways."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 from pimentolink.timers import Timers
 
-# Seconds between two tellings of the own clock, and how long one is believed; several
-# in a row may be lost.
+# Seconds between two reports of the own clock, and the time for which a report of
+# another gateway is used; several in a row may be lost.
 TELL_INTERVAL = 5.0
-KEEP = 30.0
+SAMPLE_LIFETIME = 30.0
 
 
 class SynchronizedClock:
     """
-    Estimates the time of day from the clocks of all gateways.
+    Estimates the time of day from the wall clocks of all gateways.
 
     Wall clocks of some instances may jump by seconds. The boot clock does not, so each
-    gateway's wall clock is kept as its distance from the boot clock here, and the
-    median of these is taken: a minority that has jumped, this one included, moves it no
-    further than the others differ.
+    gateway's wall clock is stored as its offset from the local boot clock, and the
+    median offset is used. A minority of clocks that have jumped, the own included,
+    shifts the median no further than the other clocks differ.
     """
 
     def __init__(self, timers: Timers) -> None:
         """
-        Start with the own clock.
+        Start with the own clock only.
 
         :param timers: the timer service.
         """
@@ -33,9 +33,9 @@
 
     def told(self, life: str, wall_time: float) -> None:
         """
-        Learn what another gateway's wall clock shows.
+        Record the time of another gateway's wall clock.
 
-        :param life: of its process.
+        :param life: identifies its process.
         :param wall_time: seconds since 1970, as of now.
         """
         boot = self._timers.boot_time()
@@ -44,9 +44,9 @@
     def now(self) -> float:
         """Estimate the time of day, in seconds since 1970."""
         boot = self._timers.boot_time()
-        for life, (told_at, _) in list(self._samples_by_life.items()):
-            if boot - told_at > KEEP:
+        for life, (sampled_at, _) in list(self._samples_by_life.items()):
+            if boot - sampled_at > SAMPLE_LIFETIME:
                 del self._samples_by_life[life]
-        distances = [distance for _, distance in self._samples_by_life.values()]
-        own = self._timers.wall_time() - boot
-        return boot + median([own, *distances])
+        offsets = [offset for _, offset in self._samples_by_life.values()]
+        own_offset = self._timers.wall_time() - boot
+        return boot + median([own_offset, *offsets])
--- a/pimentolink/leadership.py
+++ b/pimentolink/leadership.py
@@ -1,4 +1,4 @@
-"""Makes one gateway at a time the leader, under a lease of the store."""
+"""Elects one gateway at a time as the leader, by a key under a lease in the store."""
 
 from __future__ import annotations
 
@@ -18,23 +18,25 @@
 from pimentolink.timers import Timers, in_background, pause
 
 LEADER_KEY = "pimentolink/orders"
-# The lease is renewed this often within its time.
-RENEWALS = 3
-# Seconds of the lease that must be left when the leader acts, so that what it sends
-# arrives inside it.
-LEASE_LEFT = 1.0
-# Seconds for which a reading of the key may be acted on. The store may take the key
-# away unseen; who takes it over waits for this beside the lease.
+# How many times the lease is renewed within its duration.
+RENEWALS_PER_LEASE = 3
+# Seconds that must remain of the lease when the leader acts, so that what it sends
+# arrives before the lease expires.
+LEASE_MARGIN = 1.0
+# Seconds for which a read of the leader key may be acted on. The store may remove the
+# key without the leader noticing, so a new leader waits for this time beyond the lease.
 READ_AGE = 0.5
-# Seconds over which gateways spread their attempts to become the leader.
-CAMPAIGN_SPREAD = 1.0
+# Maximum random delay, in seconds, before an attempt to become the leader.
+CAMPAIGN_JITTER = 1.0
 
 
 class Leader(msgspec.Struct):
     """
-    Who leads: one life of one gateway.
+    The value of the leader key: one process of one gateway.
 
-    :ivar epoch: of the store that says so.
+    :ivar instance: name of the gateway.
+    :ivar life: identifies its process; a restart changes it.
+    :ivar epoch: epoch of the store in which the key was written.
     """
 
     instance: str
@@ -44,11 +46,20 @@
 
 class Leadership:
     """
-    Keeps one leader at a time.
-
-    The leader is named by a key under a lease, whose revision is the fencing token. It
-    is read before the leader acts, since the store may take it away unseen, and whoever
-    takes over waits until what the last leader sent can no longer arrive.
+    Campaigns for leadership and holds it under a lease.
+
+    A key under a lease names the leader; the key's revision is the fencing token. The
+    leader reads the key before it acts, since the store may remove it without the
+    leader noticing. A new leader waits until nothing that the previous leader sent can
+    still arrive.
+
+    :ivar lease_time: duration of the lease, in seconds.
+    :ivar name: identifies this process to engines.
+    :ivar instance: name of this gateway.
+    :ivar lease: the lease under which this gateway leads; 0 if it does not lead.
+    :ivar fence: the fencing token; 0 if this gateway does not lead.
+    :ivar lead: called after each renewal while this gateway leads.
+    :ivar on_leader: called when the leader may have changed.
     """
 
     def __init__(
@@ -61,14 +72,14 @@
         log: Log,
     ) -> None:
         """
-        Prepare.
+        Start without a known leader; :meth:`start` begins to campaign.
 
-        :param settings: lease and pauses.
-        :param life: of this process.
+        :param settings: the gateway's name and the duration of the lease.
+        :param life: identifies this process.
         :param keyspace: the store.
         :param timers: the timer service.
         :param random: seeded source for jitter.
-        :param log: where events go.
+        :param log: receives events.
         """
         self._keyspace = keyspace
         self._timers = timers
@@ -76,176 +87,186 @@
         self._log = log
         self.lease_time = settings.order_lease_ms / 1000
         self._life = life
-        self._me = b""
+        self._own_value = b""
         self.name = f"{settings.instance}-{life}"
         self.instance = settings.instance
         self._leader: bytes | None = None
         self._leader_revision = 0
-        self._is_known = False
-        self._changed_at = 0.0
+        self._is_key_known = False
+        self._leader_changed_at = 0.0
         self.lease = 0
         self.fence = 0
         self._valid_until = 0.0
-        self._taken_at = 0.0
-        self._stands_back_until = 0.0
+        self._elected_at = 0.0
+        self._resigned_until = 0.0
         self._running: Deferred[None] | None = None
-        self.lead: Callable[[], Coroutine[Any, Any, None]] = _nothing
+        self.lead: Callable[[], Coroutine[Any, Any, None]] = _do_nothing
         self.on_leader: Callable[[], None] = lambda: None
 
     def start(self) -> None:
-        """Lead whenever nobody does."""
+        """Campaign whenever there is no leader."""
         self._running = in_background(self._run())
 
     def stop(self) -> None:
-        """Lead no more."""
+        """Stop campaigning and end the lease."""
         if self._running is not None:
             self._running.cancel()
         self._end_lease()
-        self._give_up()
+        self._clear_leadership()
 
     def stand_back(self, seconds: float) -> None:
         """
-        Let another gateway lead, for what this one cannot reach.
+        Resign, so that a gateway that reaches what this one cannot reach may lead.
 
-        :param seconds: for which this one does not try again.
+        :param seconds: time for which this gateway does not campaign again.
         """
-        self._stands_back_until = self._timers.now() + seconds
-        self._log.write(LogEvent.LEADERSHIP_LOST, detail="this gateway stands back")
+        self._resigned_until = self._timers.now() + seconds
+        self._log.write(LogEvent.LEADERSHIP_LOST, detail="resigned to let another lead")
         self._end_lease()
-        self._give_up()
+        self._clear_leadership()
 
     def distrust(self) -> None:
-        """Do not act until the lease is renewed: this process stood still."""
+        """Do not act until the lease is renewed, since this process was suspended."""
         self._valid_until = 0.0
 
     def key_changed(self, change: Change) -> None:
-        """Learn who leads."""
-        self._is_known = True
-        before = self._leader
+        """Handle a change of the leader key."""
+        self._is_key_known = True
+        previous = self._leader
         self._leader = change.value
         revision = change.revision if change.value is not None else 0
         if revision != self._leader_revision:
             self._leader_revision = revision
-            self._changed_at = self._timers.now()
-        if self.lease and change.value != self._me:
-            self._give_up()
-        if change.value != before:
+            self._leader_changed_at = self._timers.now()
+        if self.lease and change.value != self._own_value:
+            self._clear_leadership()
+        if change.value != previous:
             self.on_leader()
 
     def _is_free(self) -> bool:
         """
-        Tell whether nobody leads.
+        Tell whether there is no leader.
 
-        A leader that only the copy names which the store was restored from has lost its
-        lease; nothing else may remove the key.
+        After the store was restored from a backup, a key of an earlier epoch names a
+        leader that has lost its lease. Nothing else may remove that key, so it counts
+        as absent once the lease's duration has passed.
         """
         leader = self._read_leader()
         if leader is None:
-            return self._is_known
-        is_copied = leader.epoch < epoch_of(self._leader_revision)
-        return is_copied and self._timers.now() >= self._changed_at + self.lease_time
+            return self._is_key_known
+        is_from_earlier_epoch = leader.epoch < epoch_of(self._leader_revision)
+        return (
+            is_from_earlier_epoch
+            and self._timers.now() >= self._leader_changed_at + self.lease_time
+        )
 
     @property
     def leader(self) -> str:
-        """The instance that leads; empty if none is known."""
+        """Name of the leading instance; empty if none is known."""
         leader = self._read_leader()
         return "" if leader is None else leader.instance
 
     def _read_leader(self) -> Leader | None:
         if self._leader is None:
             return None
-        found = read_json(self._leader, Leader)
-        # What cannot be read names a leader that is not known here.
-        return Leader("", "") if isinstance(found, Err) else found.ok_value
+        decoded = read_json(self._leader, Leader)
+        # A value that cannot be decoded still means that some gateway leads.
+        return Leader("", "") if isinstance(decoded, Err) else decoded.ok_value
 
     def may_act(self, wait: float) -> bool:
         """
         Tell whether this gateway may act as the leader.
 
-        :param wait: seconds after a take-over until nothing of the last leader arrives.
+        :param wait: seconds after the election until nothing that the previous leader
+            sent can still arrive.
         """
         now = self._timers.now()
-        is_held = bool(self.lease) and now < self._valid_until - LEASE_LEFT
-        return is_held and now >= self._taken_at + wait
+        is_lease_valid = bool(self.lease) and now < self._valid_until - LEASE_MARGIN
+        return is_lease_valid and now >= self._elected_at + wait
 
     async def is_confirmed(self) -> bool:
         """
-        Read the key that names the leader.
+        Read the leader key to confirm that this gateway still leads.
 
-        :returns: whether it was read just now and names this gateway.
-        :raises LeaseLost: if another gateway leads.
-        :raises KeyValueUnavailable: without an answer.
+        :returns: whether the read was fast enough to be acted on.
+        :raises LeaseLost: if the key does not name this gateway.
+        :raises KeyValueUnavailable: if the store does not answer.
         """
-        asked_at = self._timers.now()
+        requested_at = self._timers.now()
         found = await self._keyspace.read(LEADER_KEY)
-        if found is None or found.value != self._me or found.revision != self.fence:
+        if (
+            found is None
+            or found.value != self._own_value
+            or found.revision != self.fence
+        ):
             raise LeaseLost("another gateway leads")
-        return self._timers.now() - asked_at <= READ_AGE
+        return self._timers.now() - requested_at <= READ_AGE
 
     def lost(self, failure: LeaseLost) -> None:
-        """Learn that another gateway leads."""
+        """Record that this gateway no longer leads."""
         self._log.write(LogEvent.LEADERSHIP_LOST, detail=str(failure))
-        self._give_up()
+        self._clear_leadership()
 
     async def _run(self) -> None:
         while True:
             try:
                 if self.lease:
-                    await self._hold()
+                    await self._renew_and_lead()
                 elif self._may_campaign():
                     await self._campaign()
             except LeaseLost as failure:
                 self.lost(failure)
             except KeyValueUnavailable:
-                # The follower logs outages. The store may pause leases meanwhile: given
-                # up here, this one would keep others from leading until it runs out.
+                # The keyspace follower logs outages. The store may not expire leases
+                # during one, so giving up here would leave the key in place, and no
+                # gateway could lead until the lease expires.
                 pass
-            await pause(self._timers, self.lease_time / RENEWALS)
+            await pause(self._timers, self.lease_time / RENEWALS_PER_LEASE)
 
     def _may_campaign(self) -> bool:
-        return self._is_free() and self._timers.now() >= self._stands_back_until
+        return self._is_free() and self._timers.now() >= self._resigned_until
 
     async def _campaign(self) -> None:
-        await pause(self._timers, self._random.uniform(0.0, CAMPAIGN_SPREAD))
+        await pause(self._timers, self._random.uniform(0.0, CAMPAIGN_JITTER))
         if not self._is_free():
             return
-        asked_at = self._timers.now()
-        before = self._leader_revision
+        requested_at = self._timers.now()
+        previous = self._leader_revision
         lease = await self._keyspace.grant(self.lease_time)
         leader = Leader(self.instance, self._life, self._keyspace.epoch)
-        self._me = msgspec.json.encode(leader)
-        write = Write(LEADER_KEY, self._me, before, lease)
+        self._own_value = msgspec.json.encode(leader)
+        write = Write(LEADER_KEY, self._own_value, previous, lease)
         revision = await self._keyspace.write(write)
         if revision is None:
             await self._keyspace.end(lease)
             return
-        self.lease, self.fence, self._leader = lease, revision, self._me
+        self.lease, self.fence, self._leader = lease, revision, self._own_value
         self._leader_revision = revision
-        self._valid_until = asked_at + self.lease_time
-        self._taken_at = self._timers.now()
+        self._valid_until = requested_at + self.lease_time
+        self._elected_at = self._timers.now()
         self._log.write(LogEvent.LEADERSHIP_TAKEN, fence=revision, lease=lease)
         self.on_leader()
 
-    async def _hold(self) -> None:
-        asked_at = self._timers.now()
+    async def _renew_and_lead(self) -> None:
+        requested_at = self._timers.now()
         await self._keyspace.renew(self.lease)
-        self._valid_until = asked_at + self.lease_time
+        self._valid_until = requested_at + self.lease_time
         await self.lead()
 
     def _end_lease(self) -> None:
         if self.lease:
             ending = self._keyspace.end(self.lease)
-            # Without an answer the lease runs out by itself.
+            # If the store does not answer, the lease expires by itself.
             ending.addErrback(lambda failure: failure.trap(KeyValueUnavailable))
 
-    def _give_up(self) -> None:
+    def _clear_leadership(self) -> None:
         self.lease = 0
         self.fence = 0
         self._valid_until = 0.0
-        if self._leader == self._me:
+        if self._leader == self._own_value:
             self._leader = None
             self._leader_revision = 0
 
 
-async def _nothing() -> None:
-    """Do nothing as the leader."""
+async def _do_nothing() -> None:
+    """Do nothing while leading, the default for ``Leadership.lead``."""
--- a/pimentolink/peermessages.py
+++ b/pimentolink/peermessages.py
@@ -1,4 +1,4 @@
-"""The messages by which gateways tell each other what they send to targets."""
+"""Messages that gateways exchange about load, crashes, usage and configuration."""
 
 from __future__ import annotations
 
@@ -7,37 +7,41 @@
 import msgspec
 import xxhash
 
-# Longest time, in seconds, for which a role change that another gateway told of keeps
-# an engine from work; a hundred times what the slowest known takes.
-MAX_CHANGING = 600.0
+# Upper bound, in seconds, on how long a role change reported by another gateway makes
+# an engine unavailable; a hundred times the slowest known role change.
+MAX_ROLE_CHANGE_TIME = 600.0
 
-# Most engine seconds that are believed to wait at one gateway; an hour of one engine.
-MAX_WORK = 3600.0
-# Longest time, in milliseconds, that a prompt is believed to be on its way to an
-# engine; callers have left by then.
+# Upper bound on the queued work that a gateway may report, in engine seconds; an hour
+# of one engine.
+MAX_QUEUED_WORK = 3600.0
+# Upper bound, in milliseconds, on the reported time for sending a prompt to an engine;
+# callers have disconnected by then.
 MAX_TRANSMISSION_DELAY_MS = 30_000
-# Changes of what waits that are told, in engine seconds.
-WORK_STEP = 0.02
-# Requests of one message of a crash, so that it fits into a datagram; and crashes of
-# one that is cleared.
+# Queued work is rounded to a multiple of this, in engine seconds, so that small changes
+# are not sent.
+QUEUED_WORK_STEP = 0.02
+# Maximum number of requests in one crash message, so that it fits into a datagram, and
+# of crashes in one message that clears a request.
 MAX_CRASH_FINGERPRINTS = 32
 MAX_CRASHES = 64
 
-# Bounds on what another gateway tells. A faulty one would otherwise make a target look
-# idle, busy or changing for good.
+# Bounds on values received from other gateways. Without them, a faulty gateway could
+# make a target look idle, busy or changing its role for good.
 _Natural = Annotated[int, msgspec.Meta(ge=0)]
-_Work = Annotated[float, msgspec.Meta(ge=0, le=MAX_WORK)]
-_Way = Annotated[int, msgspec.Meta(ge=0, le=MAX_TRANSMISSION_DELAY_MS)]
+_QueuedWork = Annotated[float, msgspec.Meta(ge=0, le=MAX_QUEUED_WORK)]
+_TransmissionDelay = Annotated[int, msgspec.Meta(ge=0, le=MAX_TRANSMISSION_DELAY_MS)]
 Fingerprint = Annotated[str, msgspec.Meta(pattern="^[0-9a-f]{32}$")]
-_Changing = Annotated[float, msgspec.Meta(ge=0, le=MAX_CHANGING)]
+_RoleChangeTime = Annotated[float, msgspec.Meta(ge=0, le=MAX_ROLE_CHANGE_TIME)]
 
 
 def target_key(target_id: str, born: int) -> int:
     """
-    Name one life of a target in four bytes.
+    Hash a target's ID and start time to a four-byte key.
 
-    Two targets of the same name are taken for each other; what is believed of their
-    load is then wrong, nothing else.
+    If the keys of two targets collide, they are mistaken for each other; only their
+    load estimates are then wrong.
+
+    :param born: when the target started, in Unix milliseconds; 0 if not known.
     """
     return int(xxhash.xxh32_intdigest(f"{target_id}|{born}".encode()))
 
@@ -46,12 +50,13 @@
     """
     A prompt was sent to an engine.
 
-    :ivar number: names the reading, among those of the sender's life.
+    :ivar number: identifies the prefill among those of the sender's process.
     :ivar target: see :func:`target_key`.
-    :ivar parts: of the prompt, as number and tokens.
-    :ivar copied: tokens that it fetches from another engine first.
-    :ivar way_ms: milliseconds until the engine has the prompt, over the sender's own
-        link.
+    :ivar tokens: length of the prompt.
+    :ivar parts: the prompt's parts, each as its number and its tokens.
+    :ivar copied: tokens that the engine fetches from another engine first.
+    :ivar way_ms: milliseconds until the prompt has reached the engine over the
+        sender's link.
     """
 
     number: _Natural
@@ -59,14 +64,16 @@
     tokens: _Natural
     parts: list[tuple[_Natural, _Natural]]
     copied: _Natural = 0
-    way_ms: _Way = 0
+    way_ms: _TransmissionDelay = 0
 
 
 class PrefillEnded(msgspec.Struct, tag="e", array_like=True):
     """
-    A reading came to its end; each gateway learns from it how long readings take.
+    A prefill ended; each gateway learns from this how long prefills take.
 
-    :ivar is_good: whether the prompt was read.
+    :ivar number: identifies the prefill, see :class:`PrefillStarted`.
+    :ivar target: see :func:`target_key`.
+    :ivar is_good: whether the prefill succeeded.
     """
 
     number: _Natural
@@ -76,14 +83,15 @@
 
 class OpenPrefills(msgspec.Struct, tag="o", array_like=True):
     """
-    Readings of the sender's life that have not ended.
+    The prefills of the sender's process that have not ended.
 
-    It makes up for a lost :class:`PrefillEnded`, which leaves work at its engine that
-    is not there. As datagrams were lost on full links, engines looked busy, prompts
-    were turned away, and those that came back kept the links full.
+    Corrects for lost :class:`PrefillEnded` messages, which would leave prefills that
+    have ended counted as work of their engine. Without it, when full links dropped
+    datagrams, engines looked busy, prompts were rejected, and their retries kept the
+    links full.
 
-    :ivar next_number: of the first reading that is not meant here.
-    :ivar numbers: of those before it that have not ended.
+    :ivar next_number: the lowest prefill number that this message does not cover.
+    :ivar numbers: prefills below that number that have not ended.
     """
 
     next_number: _Natural
@@ -92,39 +100,43 @@
 
 class InFlight(msgspec.Struct, tag="f", array_like=True):
     """
-    Requests that a gateway has under way, by target.
+    A gateway's requests in flight, by target.
 
-    :ivar is_whole: whether it has none at other targets; else only what has changed
-        is told, so that callers' answers do not wait for it on a slow link.
-    :ivar waiting_by_service: engine seconds of the prompts that wait there.
+    :ivar gateway: the sender's name.
+    :ivar counts_by_target: number of requests in flight.
+    :ivar is_whole: whether this is a full update, with no requests in flight at
+        targets that are not listed; otherwise only changed counts are listed, so that
+        the update does not delay responses to callers on a slow link.
+    :ivar waiting_by_service: engine seconds of the prompts queued at the gateway.
     """
 
     gateway: str
     counts_by_target: dict[str, _Natural]
     is_whole: bool
-    waiting_by_service: dict[str, _Work] = {}
+    waiting_by_service: dict[str, _QueuedWork] = {}
 
 
 class RoleChanging(msgspec.Struct, tag="r", array_like=True):
     """
-    An engine was ordered to another role.
+    An engine was ordered to change its role.
 
-    :ivar seconds: for which it takes no work.
-    :ivar born: which life of the engine is meant.
+    :ivar seconds: for which the engine accepts no work.
+    :ivar born: start time of the engine, in Unix milliseconds, so that the message
+        does not apply after a restart.
     """
 
     target_id: str
-    seconds: _Changing
+    seconds: _RoleChangeTime
     born: _Natural = 0
 
 
 class TargetCrashed(msgspec.Struct, tag="c", array_like=True):
     """
-    A target ended without having announced it.
+    A target ended without announcing a shutdown.
 
     :ivar target: see :func:`target_key`.
-    :ivar fingerprints: of requests that were under way there.
-    :ivar is_tried: whether each of them was the one that was tried there.
+    :ivar fingerprints: identify the requests that were in flight there.
+    :ivar is_tried: whether each of them was a suspect request under trial there.
     """
 
     target: _Natural
@@ -137,7 +149,7 @@
 def crash_messages(
     target: int, fingerprints: list[str], is_tried: bool
 ) -> list[TargetCrashed]:
-    """Tell of a crash in as many messages as it takes."""
+    """Split the report of a crash into messages that fit into a datagram."""
     return [
         TargetCrashed(
             target, fingerprints[begin : begin + MAX_CRASH_FINGERPRINTS], is_tried
@@ -147,16 +159,16 @@
 
 
 class SuspectTried(msgspec.Struct, tag="t", array_like=True):
-    """A request that may crash targets is being tried; others wait what comes of it."""
+    """A request suspected of crashing targets is on trial; others await the result."""
 
     fingerprint: Fingerprint
 
 
 class SuspectCleared(msgspec.Struct, tag="k", array_like=True):
     """
-    A request is not to blame for crashes at which it was under way.
+    A request did not cause the crashes during which it was in flight.
 
-    :ivar targets: that crashed; see :func:`target_key`.
+    :ivar targets: the targets that crashed; see :func:`target_key`.
     """
 
     fingerprint: Fingerprint
@@ -165,7 +177,7 @@
 
 class ClockReport(msgspec.Struct, tag="w", array_like=True):
     """
-    What the sender's wall clock shows.
+    The time of the sender's wall clock.
 
     :ivar wall_ms: milliseconds since 1970.
     """
@@ -175,11 +187,10 @@
 
 class UsageCounts(msgspec.Struct, tag="u", array_like=True):
     """
-    How many requests began to run in a window, of some organisations.
+    How many requests of some organisations began to run in a time window.
 
-    :ivar life: of the process that counted them, which may be another's than the
-        sender's.
-    :ivar window: its number.
+    :ivar life: identifies the process that counted them, not always the sender.
+    :ivar window: the window's number.
     :ivar counts: totals so far, by organisation.
     """
 
@@ -190,9 +201,9 @@
 
 class VerificationRequest(msgspec.Struct, tag="p", array_like=True):
     """
-    How old is the proof that the receiver's configuration is the newest?
+    Asks how long ago the receiver's configuration was verified to be the newest.
 
-    :ivar number: names the question, among those of the sender's life.
+    :ivar number: identifies the request among those of the sender's process.
     """
 
     number: _Natural
@@ -200,11 +211,12 @@
 
 class VerificationReply(msgspec.Struct, tag="q", array_like=True):
     """
-    The answer to :class:`VerificationRequest`.
+    The reply to a :class:`VerificationRequest`.
 
-    :ivar version: of the configuration that was the newest.
-    :ivar epoch: of the store that showed it.
-    :ivar age_ms: milliseconds between the question that showed it and this answer.
+    :ivar number: of the request.
+    :ivar version: the configuration version that was verified as the newest.
+    :ivar epoch: epoch of the store that it was verified against.
+    :ivar age_ms: milliseconds from the query that verified it to this reply.
     """
 
     number: _Natural
@@ -224,7 +236,7 @@
     """
     Messages of one gateway.
 
-    :ivar life: of the sender's process.
+    :ivar life: identifies the sender's process; a restart changes it.
     """
 
     life: str
@@ -232,7 +244,7 @@
 
 
 class PeerPublisher(Protocol):
-    """Tells other gateways."""
+    """Sends messages to other gateways."""
 
     def broadcast(self, message: Message) -> None:
-        """Tell all gateways, without being sure that any learns it."""
+        """Send to all other gateways of the cell; delivery is not guaranteed."""
--- a/pimentolink/rolecontroller.py
+++ b/pimentolink/rolecontroller.py
@@ -1,4 +1,4 @@
-"""Gives orders to engines, one gateway at a time."""
+"""Orders engines to change their roles, from one gateway at a time."""
 
 from __future__ import annotations
 
@@ -21,20 +21,23 @@
 from pimentolink.targetestimate import EngineReport, TargetEstimate
 from pimentolink.timers import Timers, together, with_timeout
 
-# Seconds for which an engine gets no further order after one without an answer: it
-# may still be carried out, at the latest 12 s after it was sent.
-IN_DOUBT = 13.0
-# Seconds until an order counts as unanswered.
+# Seconds for which an engine gets no further order after an order without an answer,
+# which may still be carried out up to 12 s after it was sent.
+ORDER_UNCERTAINTY = 13.0
+# Timeout, in seconds, of an order and of a request for an engine's report.
 ORDER_TIMEOUT = 0.8
-# Seconds that a change of role takes beyond its switch: running answers end first.
-SETTLE_TIME = 2.0
+# Seconds that a role change takes beyond the switch itself, since running answers end
+# first.
+DRAIN_TIME = 2.0
 
 
 class _Order(NamedTuple):
     """
-    An order that is about to go out.
+    An order to be sent.
 
-    :ivar after: orders that the engine had accepted before.
+    :ivar change: the role change that it orders.
+    :ivar message: the HTTP request.
+    :ivar after: number of orders that the engine had accepted before.
     """
 
     change: RoleChange
@@ -44,11 +47,13 @@
 
 class RoleController:
     """
-    Orders roles while this gateway leads.
+    Orders role changes while this gateway leads.
 
-    Guards that orders of two gateways never mix: whether it leads is read before each
-    round of orders, and a new leader waits until orders of the last one can no longer
-    arrive.
+    Ensures that orders of two gateways never overlap: leadership is confirmed in the
+    store before each round of orders, and a new leader waits until orders of the
+    previous one can no longer arrive.
+
+    :ivar services: lists the services whose engines this gateway controls.
     """
 
     def __init__(
@@ -58,54 +63,56 @@
         fleet: Fleet,
         dialect: Dialect,
         send: Callable[[TargetEstimate, HttpRequest], Coroutine[Any, Any, HttpReply]],
-        news: PeerPublisher,
+        publisher: PeerPublisher,
         timers: Timers,
         log: Log,
     ) -> None:
         """
-        Prepare.
+        Create a controller without services.
 
         :param leadership: tells whether this gateway leads.
-        :param balancer: decides.
+        :param balancer: decides which engines change their role.
         :param fleet: the engines.
-        :param dialect: writes orders.
+        :param dialect: encodes orders and decodes replies.
         :param send: makes one call on a connection of its own.
-        :param news: tells other gateways.
+        :param publisher: announces role changes to other gateways.
         :param timers: the timer service.
-        :param log: where events go.
+        :param log: receives events.
         """
         self._leadership = leadership
         self._balancer = balancer
         self._fleet = fleet
         self._dialect = dialect
         self._send = send
-        self._news = news
+        self._publisher = publisher
         self._timers = timers
         self._log = log
-        self._wait = leadership.lease_time + 2 * READ_AGE
-        self._in_doubt_until: dict[str, float] = {}
+        self._takeover_wait = leadership.lease_time + 2 * READ_AGE
+        self._uncertain_until: dict[str, float] = {}
         self.services: Callable[[], list[str]] = list
 
     async def lead(self) -> None:
-        """Decide on the roles of all services and give the orders."""
+        """Decide on role changes for all services and order them."""
         for service in self.services():
             self._balancer.observe(service, self._timers.now())
             changes = self._balancer.decide_all(service, self._timers.now())
-            await self._order_all(service, changes)
+            await self._send_orders(service, changes)
 
     def _may_order(self, change: RoleChange) -> bool:
-        in_doubt = self._in_doubt_until.get(change.estimate.target.target_id, 0.0)
-        is_leader = self._leadership.may_act(self._wait)
-        return is_leader and self._timers.now() >= in_doubt
+        uncertain_until = self._uncertain_until.get(
+            change.estimate.target.target_id, 0.0
+        )
+        is_leader = self._leadership.may_act(self._takeover_wait)
+        return is_leader and self._timers.now() >= uncertain_until
 
-    async def _order_all(self, service: str, changes: list[RoleChange]) -> None:
-        """Give orders at one moment, on one reading of the right to give them."""
+    async def _send_orders(self, service: str, changes: list[RoleChange]) -> None:
+        """Send a round of orders after one read that confirms the leadership."""
         allowed = [change for change in changes if self._may_order(change)]
-        reports = await together([self._report(change) for change in allowed])
+        reports = await together([self._fetch_report(change) for change in allowed])
         orders: list[_Order] = []
         for change, report in zip(allowed, reports, strict=True):
             if report is None or not _is_needed(change, report):
-                # The list tells a change of role, or a restart, late; it will catch up.
+                # The target list does not show a role change or a restart yet.
                 self._balancer.begun(service, self._timers.now())
                 continue
             message = self._dialect.change_role(
@@ -118,59 +125,63 @@
             orders.append(_Order(change, message, report.orders_accepted))
         if not orders or not await self._leadership.is_confirmed():
             return
-        await together([self._order(service, order) for order in orders])
+        await together([self._send_order(service, order) for order in orders])
 
-    async def _order(self, service: str, order: _Order) -> None:
+    async def _send_order(self, service: str, order: _Order) -> None:
         change = order.change
         if not self._may_order(change):
             return
         self._balancer.begun(service, self._timers.now())
-        self._tell(LogEvent.ORDER_STARTED, change, f"after {order.after}")
-        outcome = await self._outcome(change.estimate, order.message)
+        self._log_order(
+            LogEvent.ORDER_STARTED, change, f"orders accepted before: {order.after}"
+        )
+        outcome = await self._order_result(change.estimate, order.message)
         if isinstance(outcome, Ok):
-            self._accepted(service, change)
+            self._on_accepted(service, change)
         else:
-            self._tell(LogEvent.ORDER_FAILED, change, str(outcome.err_value))
+            self._log_order(LogEvent.ORDER_FAILED, change, str(outcome.err_value))
 
-    async def _report(self, change: RoleChange) -> EngineReport | None:
-        """Ask the engine what it is; the list tells it late."""
+    async def _fetch_report(self, change: RoleChange) -> EngineReport | None:
+        """Ask the engine for its state; the target list shows it with a delay."""
         estimate = change.estimate
         asking = self._send(estimate, self._dialect.ask_report(estimate))
         try:
             reply = await with_timeout(self._timers, ORDER_TIMEOUT, asking)
         except (Failure, TimeoutError) as error:
-            self._tell(LogEvent.ORDER_FAILED, change, f"no report: {error}")
+            self._log_order(
+                LogEvent.ORDER_FAILED, change, f"no report from the engine: {error}"
+            )
             return None
-        found = self._dialect.read_report(reply)
-        if isinstance(found, Err):
-            self._tell(LogEvent.ORDER_FAILED, change, str(found.err_value))
+        decoded = self._dialect.read_report(reply)
+        if isinstance(decoded, Err):
+            self._log_order(LogEvent.ORDER_FAILED, change, str(decoded.err_value))
             return None
-        return found.ok_value
+        return decoded.ok_value
 
-    async def _outcome(
+    async def _order_result(
         self, estimate: TargetEstimate, message: HttpRequest
     ) -> Result[None, Failure]:
         sending = self._send(estimate, message)
         try:
             reply = await with_timeout(self._timers, ORDER_TIMEOUT, sending)
         except (Failure, TimeoutError) as error:
-            until = self._timers.now() + IN_DOUBT
-            self._in_doubt_until[estimate.target.target_id] = until
+            until = self._timers.now() + ORDER_UNCERTAINTY
+            self._uncertain_until[estimate.target.target_id] = until
             return Err(OrderLost(f"{type(error).__name__}: {error}"))
         return self._dialect.order_outcome(reply)
 
-    def _accepted(self, service: str, change: RoleChange) -> None:
+    def _on_accepted(self, service: str, change: RoleChange) -> None:
         model = self._fleet.model(service)
         switch_time = model.switch_time if model is not None else 0.0
-        seconds = switch_time + SETTLE_TIME
+        seconds = switch_time + DRAIN_TIME
         estimate = change.estimate
         estimate.changing_until = self._timers.now() + seconds
         self._balancer.accepted(service, change)
         target = estimate.target
-        self._news.broadcast(RoleChanging(target.target_id, seconds, target.born))
-        self._tell(LogEvent.ORDER_DONE, change)
+        self._publisher.broadcast(RoleChanging(target.target_id, seconds, target.born))
+        self._log_order(LogEvent.ORDER_DONE, change)
 
-    def _tell(self, event: LogEvent, change: RoleChange, detail: str = "") -> None:
+    def _log_order(self, event: LogEvent, change: RoleChange, detail: str = "") -> None:
         self._log.write(
             event,
             target=change.estimate.target.target_id,
@@ -185,6 +196,10 @@
 
 
 def _is_needed(change: RoleChange, report: EngineReport) -> bool:
-    """Tell whether an engine that is free is of another role, in the life meant."""
-    is_other = report.role is not change.role
-    return is_other and not report.is_busy and report.is_of(change.estimate.target)
+    """Tell whether the engine is idle, in another role and not restarted since."""
+    is_role_different = report.role is not change.role
+    return (
+        is_role_different
+        and not report.is_busy
+        and report.is_of(change.estimate.target)
+    )
--- a/pimentolink/stalldetector.py
+++ b/pimentolink/stalldetector.py
@@ -1,4 +1,4 @@
-"""Notices that this process stood still, so that old belief is not acted on."""
+"""Detects that this process was suspended, so that it does not act on stale state."""
 
 from __future__ import annotations
 
@@ -7,50 +7,52 @@
 from pimentolink.logs import Log, LogEvent
 from pimentolink.timers import Repeater, Timers
 
-# Seconds between two looks, and how far off one may be before it counts as a freeze;
-# a busy loop is late by some tens of milliseconds.
-LOOK_INTERVAL = 0.1
-FREEZE = 0.5
+# Seconds between two checks, and how late a check must be to count as a stall; a busy
+# event loop is late by some tens of milliseconds.
+CHECK_INTERVAL = 0.1
+MIN_STALL = 0.5
 
 
 class StallDetector:
     """
-    Compares clocks at a steady pace.
+    Compares the time between periodic checks with their interval.
 
-    The monotonic clock goes on while a process is stopped, but not while its instance
-    is suspended; the boot clock goes on in both.
+    The monotonic clock advances while a process is stopped, but not while its instance
+    is suspended; the boot clock advances in both cases.
     """
 
-    def __init__(self, timers: Timers, log: Log, on_thaw: Callable[[], object]) -> None:
+    def __init__(
+        self, timers: Timers, log: Log, on_stall: Callable[[], object]
+    ) -> None:
         """
-        Prepare; :meth:`start` begins.
+        Create the detector; :meth:`start` begins the checks.
 
         :param timers: the timer service.
-        :param log: where events go.
-        :param on_thaw: called after each freeze.
+        :param log: receives events.
+        :param on_stall: called after each stall.
         """
         self._timers = timers
         self._log = log
-        self._on_thaw = on_thaw
-        self._seen = (timers.now(), timers.boot_time())
+        self._on_stall = on_stall
+        self._last_times = (timers.now(), timers.boot_time())
         self._repeater: Repeater | None = None
 
     def start(self) -> None:
-        """Look from now on."""
-        self._seen = (self._timers.now(), self._timers.boot_time())
-        self._repeater = Repeater(self._timers, LOOK_INTERVAL, self._look)
+        """Start periodic checks."""
+        self._last_times = (self._timers.now(), self._timers.boot_time())
+        self._repeater = Repeater(self._timers, CHECK_INTERVAL, self._check)
 
     def stop(self) -> None:
-        """Look no more."""
+        """Stop the checks."""
         if self._repeater is not None:
             self._repeater.cancel()
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         now, boot = self._timers.now(), self._timers.boot_time()
-        passed = max(now - self._seen[0], boot - self._seen[1])
-        self._seen = (now, boot)
-        stood = passed - LOOK_INTERVAL
-        if stood < FREEZE:
+        elapsed = max(now - self._last_times[0], boot - self._last_times[1])
+        self._last_times = (now, boot)
+        stall = elapsed - CHECK_INTERVAL
+        if stall < MIN_STALL:
             return
-        self._log.write(LogEvent.FROZEN, seconds=round(stood, 3))
-        self._on_thaw()
+        self._log.write(LogEvent.FROZEN, seconds=round(stall, 3))
+        self._on_stall()
--- a/tests/test_clocksync.py
+++ b/tests/test_clocksync.py
@@ -1,12 +1,12 @@
-"""The time of day that gateways agree on."""
+"""Tests of the time of day estimated from the clocks of several gateways."""
 
 import pytest
 
-from pimentolink.clocksync import KEEP, SynchronizedClock
+from pimentolink.clocksync import SAMPLE_LIFETIME, SynchronizedClock
 from pimentolink.timers import ManualTimers
 
 
-class Clock(ManualTimers):
+class JumpingTimers(ManualTimers):
     """Timers whose wall clock can jump."""
 
     def __init__(self):
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def clock():
-    return Clock()
+    return JumpingTimers()
 
 
 def true_now(clock):
@@ -32,29 +32,29 @@
 
     @pytest.mark.parametrize("jumps", [[2.0, -2.0], [3.0, 3.0, 0, 0, 0], [0, 0, 9.0]])
     def test_minority_that_jumped_moves_nothing(self, clock, jumps):
-        time = SynchronizedClock(clock)
+        synchronized = SynchronizedClock(clock)
         for number, jump in enumerate(jumps):
-            time.told(f"life-{number}", true_now(clock) + jump)
-        assert time.now() == pytest.approx(true_now(clock))
+            synchronized.told(f"life-{number}", true_now(clock) + jump)
+        assert synchronized.now() == pytest.approx(true_now(clock))
 
     def test_own_jump_moves_nothing_at_once(self, clock):
-        time = SynchronizedClock(clock)
+        synchronized = SynchronizedClock(clock)
         for number in range(2):
-            time.told(f"life-{number}", true_now(clock))
+            synchronized.told(f"life-{number}", true_now(clock))
         clock.advance(4.0)
         clock.jump = -2.0
-        assert time.now() == pytest.approx(true_now(clock))
+        assert synchronized.now() == pytest.approx(true_now(clock))
 
     def test_suspended_instance_keeps_the_time(self, clock):
-        time = SynchronizedClock(clock)
-        before = time.now()
+        synchronized = SynchronizedClock(clock)
+        before = synchronized.now()
         clock.suspend(3.0)
         clock.jump = 3.0
-        assert time.now() == pytest.approx(before + 3.0)
+        assert synchronized.now() == pytest.approx(before + 3.0)
 
     def test_gateway_that_is_gone_is_forgotten(self, clock):
-        time = SynchronizedClock(clock)
+        synchronized = SynchronizedClock(clock)
         for number in range(2):
-            time.told(f"life-{number}", true_now(clock) + 5.0)
-        clock.advance(KEEP + 1.0)
-        assert time.now() == pytest.approx(true_now(clock))
+            synchronized.told(f"life-{number}", true_now(clock) + 5.0)
+        clock.advance(SAMPLE_LIFETIME + 1.0)
+        assert synchronized.now() == pytest.approx(true_now(clock))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other, on one virtual wire."""
+"""Tests of the datagrams between gateways, over an in-memory transport."""
 
 import msgspec
 import pytest
@@ -11,7 +11,7 @@
 from pimentolink.logs import Log
 from pimentolink.metrics import Metrics
 from pimentolink.peermessages import (
-    MAX_CHANGING,
+    MAX_ROLE_CHANGE_TIME,
     InFlight,
     OpenPrefills,
     PrefillEnded,
@@ -19,19 +19,19 @@
     RoleChanging,
     target_key,
 )
-from pimentolink.peers import MAX_DATAGRAM, PeerOutbox, PeerProtocol, choose_peers
-from pimentolink.peerupdates import COUNTS_LAST, PeerUpdates
+from pimentolink.peers import MAX_DATAGRAM_SIZE, PeerOutbox, PeerProtocol, choose_peers
+from pimentolink.peerupdates import PEER_TIMEOUT, PeerUpdates
 from pimentolink.registration import GatewayEntry
 from pimentolink.targetestimate import EngineRole
 from pimentolink.timers import ManualTimers
 from tests.gatewayparts import fleet, target
 from tests.jsonvalues import VALUES
 
-KEY = target_key("e", 0)
+ENGINE_KEY = target_key("e", 0)
 
 
-class Wire:
-    """Carries datagrams to the other gateway at once, and counts them."""
+class FakeTransport:
+    """Delivers datagrams to the other gateway at once, and records them."""
 
     def __init__(self):
         self.other = None
@@ -43,29 +43,29 @@
             self.other.datagramReceived(datagram, address)
 
 
-class Pair:
-    """Two gateways with their beliefs of one engine."""
+class GatewayPair:
+    """Two gateways, each with its estimate of the load of one engine."""
 
     def __init__(self):
         self.timers = ManualTimers()
         self.fleets = [fleet(target("e", EngineRole.DECODE)) for _ in range(2)]
-        self.wires = [Wire(), Wire()]
+        self.transports = [FakeTransport(), FakeTransport()]
         self.peers = [
             PeerProtocol(
                 name,
                 f"life-{name}",
-                known,
+                gateway_fleet,
                 lambda: None,
                 self.timers,
                 Log(instance=name),
                 Metrics(),
                 EgressQueue(0.0, self.timers),
             )
-            for name, known in zip("ab", self.fleets, strict=True)
+            for name, gateway_fleet in zip("ab", self.fleets, strict=True)
         ]
         for index, peer in enumerate(self.peers):
-            peer.transport = self.wires[index]
-            self.wires[index].other = self.peers[1 - index]
+            peer.transport = self.transports[index]
+            self.transports[index].other = self.peers[1 - index]
             peer.tell_to(["127.0.0.1:1"])
             peer.start()
 
@@ -75,7 +75,7 @@
 
 @pytest.fixture
 def pair():
-    return Pair()
+    return GatewayPair()
 
 
 class TestInFlight:
@@ -92,52 +92,54 @@
         assert pair.engine(1).load() == 0
 
     def test_lost_datagram_is_made_up_for_within_a_second(self, pair):
-        pair.wires[0].other = None
+        pair.transports[0].other = None
         pair.engine(0).in_flight = 3
         pair.timers.advance(0.2)
-        pair.wires[0].other = pair.peers[1]
+        pair.transports[0].other = pair.peers[1]
         pair.timers.advance(1.2)
         assert pair.engine(1).load() == 3
 
     def test_lost_end_is_made_up_for_within_a_second(self, pair):
         pair.engine(0).in_flight = 3
         pair.timers.advance(0.2)
-        pair.wires[0].other = None
+        pair.transports[0].other = None
         pair.engine(0).in_flight = 0
         pair.timers.advance(0.2)
-        pair.wires[0].other = pair.peers[1]
+        pair.transports[0].other = pair.peers[1]
         pair.timers.advance(1.2)
         assert pair.engine(1).load() == 0
 
     def test_change_at_one_of_many_targets_is_told_in_few_bytes(self, pair):
-        for known in pair.fleets:
+        for gateway_fleet in pair.fleets:
             for number in range(60):
-                known.put(target(f"engine-{number}", EngineRole.DECODE))
+                gateway_fleet.put(target(f"engine-{number}", EngineRole.DECODE))
         for estimate in pair.fleets[0].targets_by_id.values():
             estimate.in_flight = 2
         pair.timers.advance(0.2)
-        whole = len(pair.wires[0].datagrams[-1])
+        full_size = len(pair.transports[0].datagrams[-1])
         pair.engine(0).in_flight = 3
         pair.timers.advance(0.2)
         assert pair.engine(1).load() == 3
-        assert len(pair.wires[0].datagrams[-1]) < whole / 10
+        assert len(pair.transports[0].datagrams[-1]) < full_size / 10
 
     def test_counts_of_many_targets_are_told_in_several_messages(self, pair):
-        for known in pair.fleets:
+        for gateway_fleet in pair.fleets:
             for number in range(300):
-                known.put(target(f"engine-of-some-length-{number}"))
+                gateway_fleet.put(target(f"engine-of-some-length-{number}"))
         for estimate in pair.fleets[0].targets_by_id.values():
             estimate.in_flight = 2
         pair.timers.advance(0.2)
         loads = [estimate.load() for estimate in pair.fleets[1].targets_by_id.values()]
         assert loads == [2] * 301
-        assert all(len(data) <= MAX_DATAGRAM for data in pair.wires[0].datagrams)
+        assert all(
+            len(data) <= MAX_DATAGRAM_SIZE for data in pair.transports[0].datagrams
+        )
 
     def test_load_of_a_gateway_that_was_killed_is_forgotten(self, pair):
         pair.engine(0).in_flight = 3
         pair.timers.advance(0.2)
         pair.peers[0].stop()
-        pair.timers.advance(COUNTS_LAST - 0.3)
+        pair.timers.advance(PEER_TIMEOUT - 0.3)
         assert pair.engine(1).load() == 3
         pair.timers.advance(0.6)
         assert pair.engine(1).load() == 0
@@ -154,24 +156,24 @@
         pair.peers[0].waiting_work = lambda: {"s": 1.5}
         pair.timers.advance(0.2)
         pair.peers[0].stop()
-        pair.timers.advance(COUNTS_LAST + 0.3)
+        pair.timers.advance(PEER_TIMEOUT + 0.3)
         assert pair.fleets[1].waiting_elsewhere("s") == 0
 
     def test_steady_load_is_told_once_a_second(self, pair):
         pair.engine(0).in_flight = 3
         pair.timers.advance(10.0)
-        assert 9 <= len(pair.wires[0].datagrams) <= 11
+        assert 9 <= len(pair.transports[0].datagrams) <= 11
 
     def test_idle_gateway_tells_nothing(self, pair):
         pair.timers.advance(10.0)
-        assert pair.wires[0].datagrams == []
+        assert pair.transports[0].datagrams == []
 
 
 class TestReadings:
     def test_other_gateway_counts_a_reading_until_its_end(self, pair):
-        pair.peers[0].broadcast(PrefillStarted(1, KEY, 5000, [(1, 5000)]))
+        pair.peers[0].broadcast(PrefillStarted(1, ENGINE_KEY, 5000, [(1, 5000)]))
         assert pair.engine(1).backlog(pair.timers.now()) > 0
-        pair.peers[0].broadcast(PrefillEnded(1, KEY, True))
+        pair.peers[0].broadcast(PrefillEnded(1, ENGINE_KEY, True))
         assert pair.engine(1).backlog(pair.timers.now()) == 0
         assert pair.engine(1).fetchable.held_tokens([PromptPart(1, 5000)]) == 5000
 
@@ -189,58 +191,58 @@
 
     def test_counts_that_changed_go_along(self, pair):
         pair.engine(0).in_flight = 2
-        pair.peers[0].broadcast(PrefillStarted(1, KEY, 5000, []))
-        assert len(pair.wires[0].datagrams) == 1
+        pair.peers[0].broadcast(PrefillStarted(1, ENGINE_KEY, 5000, []))
+        assert len(pair.transports[0].datagrams) == 1
         assert pair.engine(1).load() == 2
 
 
 class TestLostMessages:
-    """Pattern: datagrams are lost on a link that is full."""
+    """Load pattern: datagrams are lost on a saturated link."""
 
-    def begin(self, pair, open_numbers=(1,)):
+    def start_prefill(self, pair, open_numbers=(1,)):
         pair.peers[0].open_prefills = lambda: OpenPrefills(2, list(open_numbers))
-        pair.peers[0].broadcast(PrefillStarted(1, KEY, 5000, [(1, 5000)]))
+        pair.peers[0].broadcast(PrefillStarted(1, ENGINE_KEY, 5000, [(1, 5000)]))
         assert pair.engine(1).backlog(pair.timers.now()) > 0
 
     def test_lost_end_of_a_reading_is_made_up_for_within_a_second(self, pair):
-        self.begin(pair)
-        pair.wires[0].other = None
+        self.start_prefill(pair)
+        pair.transports[0].other = None
         pair.peers[0].open_prefills = lambda: OpenPrefills(2, [])
-        pair.peers[0].broadcast(PrefillEnded(1, KEY, True))
-        pair.wires[0].other = pair.peers[1]
+        pair.peers[0].broadcast(PrefillEnded(1, ENGINE_KEY, True))
+        pair.transports[0].other = pair.peers[1]
         pair.timers.advance(1.2)
         assert pair.engine(1).prefills_by_ticket == {}
 
     def test_open_readings_stay(self, pair):
-        self.begin(pair)
+        self.start_prefill(pair)
         pair.timers.advance(1.2)
         assert len(pair.engine(1).prefills_by_ticket) == 1
 
     def test_reading_told_before_what_was_open_earlier_stays(self, pair):
-        self.begin(pair)
-        book = PeerUpdates(pair.fleets[1])
+        self.start_prefill(pair)
+        updates = PeerUpdates(pair.fleets[1])
         now = pair.timers.now()
-        book.take("l", PrefillStarted(7, KEY, 5000, []), now)
-        book.take("l", OpenPrefills(7, []), now)
+        updates.take("l", PrefillStarted(7, ENGINE_KEY, 5000, []), now)
+        updates.take("l", OpenPrefills(7, []), now)
         assert "l-7" in pair.engine(1).prefills_by_ticket
 
     def test_readings_of_a_gateway_that_was_killed_are_forgotten(self, pair):
-        self.begin(pair)
+        self.start_prefill(pair)
         pair.timers.advance(0.3)
         pair.peers[0].stop()
-        pair.timers.advance(COUNTS_LAST + 0.3)
+        pair.timers.advance(PEER_TIMEOUT + 0.3)
         assert pair.engine(1).prefills_by_ticket == {}
 
     def test_readings_of_an_earlier_life_are_forgotten_at_once(self, pair):
-        book = PeerUpdates(pair.fleets[1])
-        book.take("first", InFlight("g", {}, True), 0.0)
-        book.take("first", PrefillStarted(7, KEY, 5000, []), 0.0)
-        book.take("second", InFlight("g", {}, True), 0.1)
+        updates = PeerUpdates(pair.fleets[1])
+        updates.take("first", InFlight("g", {}, True), 0.0)
+        updates.take("first", PrefillStarted(7, ENGINE_KEY, 5000, []), 0.0)
+        updates.take("second", InFlight("g", {}, True), 0.1)
         assert pair.engine(1).prefills_by_ticket == {}
 
 
 class TestBusyLink:
-    """Pattern: a gateway whose link is full of prompts and answers."""
+    """Load pattern: a gateway whose link is saturated by prompts and responses."""
 
     @pytest.fixture
     def egress_queue(self, pair):
@@ -251,27 +253,27 @@
     def test_messages_wait_and_share_a_datagram(self, pair, egress_queue):
         egress_queue.sent(20_000)
         for number in range(4):
-            pair.peers[0].broadcast(PrefillStarted(number, KEY, 500, []))
-        assert pair.wires[0].datagrams == []
+            pair.peers[0].broadcast(PrefillStarted(number, ENGINE_KEY, 500, []))
+        assert pair.transports[0].datagrams == []
         pair.timers.advance(0.04)
-        assert len(pair.wires[0].datagrams) == 1
+        assert len(pair.transports[0].datagrams) == 1
         assert len(pair.engine(1).prefills_by_ticket) == 4
 
     def test_they_wait_no_longer_than_told(self, pair, egress_queue):
         egress_queue.sent(2_000_000)
-        pair.peers[0].broadcast(PrefillStarted(1, KEY, 500, []))
+        pair.peers[0].broadcast(PrefillStarted(1, ENGINE_KEY, 500, []))
         pair.timers.advance(0.051)
-        assert len(pair.wires[0].datagrams) == 1
+        assert len(pair.transports[0].datagrams) == 1
 
     def test_reading_is_told_in_few_bytes(self, pair):
         parts = [(2**31, 2_500), (2**32, 3_800), (2**32 - 1, 2_900)]
-        pair.peers[0].broadcast(PrefillStarted(3_000, KEY, 4_000, parts, 0, 15))
-        pair.peers[0].broadcast(PrefillEnded(3_000, KEY, True))
-        assert sum(len(data) for data in pair.wires[0].datagrams[-2:]) <= 100
+        pair.peers[0].broadcast(PrefillStarted(3_000, ENGINE_KEY, 4_000, parts, 0, 15))
+        pair.peers[0].broadcast(PrefillEnded(3_000, ENGINE_KEY, True))
+        assert sum(len(data) for data in pair.transports[0].datagrams[-2:]) <= 100
 
 
 class TestChoice:
-    """Pattern: far more gateways than one may tell."""
+    """Load pattern: far more gateways than one may send load updates to."""
 
     def entries(self, count):
         return {
@@ -314,15 +316,17 @@
         outbox = PeerOutbox("life")
         for number in range(100):
             parts = [(number, 1)] * (number % 40)
-            assert outbox.add(PrefillStarted(number, KEY, 1, parts))
+            assert outbox.add(PrefillStarted(number, ENGINE_KEY, 1, parts))
         datagrams = outbox.take()
         assert len(datagrams) > 1
-        assert all(len(datagram) <= MAX_DATAGRAM for datagram in datagrams)
+        assert all(len(datagram) <= MAX_DATAGRAM_SIZE for datagram in datagrams)
         assert outbox.take() == []
 
     def test_message_that_fits_into_no_datagram_is_not_taken(self):
         outbox = PeerOutbox("life")
-        assert not outbox.add(PrefillStarted(1, KEY, 1, [(1, 1)] * MAX_DATAGRAM))
+        assert not outbox.add(
+            PrefillStarted(1, ENGINE_KEY, 1, [(1, 1)] * MAX_DATAGRAM_SIZE)
+        )
         assert outbox.take() == []
 
 
@@ -333,10 +337,12 @@
 
 NUMBERS = st.floats() | st.integers(-(2**63), 2**63) | VALUES
 PARTS = st.lists(st.lists(st.integers(-9, 2**64 - 1), max_size=2), max_size=2)
-# Messages whose fields are right or have any value, and any other datagram.
+# Messages with valid or arbitrary field values, and arbitrary other datagrams.
 MESSAGES = st.one_of(
-    st.tuples(st.just("b"), NUMBERS, st.just(KEY) | NUMBERS, NUMBERS, PARTS),
-    st.tuples(st.just("e"), NUMBERS, st.just(KEY) | NUMBERS, st.booleans(), NUMBERS),
+    st.tuples(st.just("b"), NUMBERS, st.just(ENGINE_KEY) | NUMBERS, NUMBERS, PARTS),
+    st.tuples(
+        st.just("e"), NUMBERS, st.just(ENGINE_KEY) | NUMBERS, st.booleans(), NUMBERS
+    ),
     st.tuples(st.just("f"), st.just("g"), st.just({"e": 2}) | VALUES, st.booleans()),
     st.tuples(
         st.just("f"), st.just("g"), NUMBERS.map(lambda n: {"e": n}), st.booleans()
@@ -357,10 +363,10 @@
     @settings(max_examples=10_000, deadline=None)
     @given(datagram=DATAGRAMS)
     def test_any_datagram_leaves_beliefs_that_can_be_used(self, datagram):
-        pair = Pair()
+        pair = GatewayPair()
         pair.peers[0].datagramReceived(datagram, ("127.0.0.1", 1))
         engine = pair.engine(0)
         assert engine.backlog(0.0) >= 0
         assert engine.load() >= 0
         assert 0 < engine.work_time(1000) < 1000
-        assert engine.is_usable(MAX_CHANGING)
+        assert engine.is_usable(MAX_ROLE_CHANGE_TIME)
--- a/tests/test_rolecontroller.py
+++ b/tests/test_rolecontroller.py
@@ -1,4 +1,4 @@
-"""One leader at a time, and no order on old belief."""
+"""Tests that only one gateway at a time sends orders, and none on stale state."""
 
 import json
 from random import Random
@@ -13,7 +13,7 @@
 from pimentolink.memorykeyspace import MemoryKeyspace
 from pimentolink.platform.dialect import PlatformDialect
 from pimentolink.rolebalance import RoleBalancer
-from pimentolink.rolecontroller import IN_DOUBT, RoleController
+from pimentolink.rolecontroller import ORDER_UNCERTAINTY, RoleController
 from pimentolink.targetestimate import EngineRole
 from pimentolink.timers import ManualTimers
 from tests.gatewayparts import engines, fleet, gateway_settings
@@ -21,8 +21,8 @@
 LIST_LAG = 4.0
 
 
-class Engine:
-    """Takes orders as an engine that does not check fencing numbers."""
+class FakeEngines:
+    """Accepts orders like engines that do not check fencing tokens."""
 
     def __init__(self, timers):
         self._timers = timers
@@ -51,64 +51,64 @@
         return HttpReply(ReplyHead(202, ()), b"{}")
 
     def _list(self, name):
-        for found in self.fleets:
-            known = found.targets_by_id[name].target
-            found.put(known._replace(role=EngineRole.PREFILL))
+        for gateway_fleet in self.fleets:
+            known = gateway_fleet.targets_by_id[name].target
+            gateway_fleet.put(known._replace(role=EngineRole.PREFILL))
 
 
-class Late(list):
-    """A list of fleets that learns nothing."""
+class FrozenFleets(list):
+    """A list of fleets that stays empty, so that no fleet learns of role changes."""
 
-    def append(self, found):
+    def append(self, gateway_fleet):
         pass
 
 
-class News:
+class FakePublisher:
     def broadcast(self, message):
         pass
 
 
 class World:
-    """A store, engines, and gateways that want to give orders."""
+    """A store, engines, and gateways that compete for leadership."""
 
     def __init__(self):
         self.timers = ManualTimers()
         self.store = MemoryKeyspace(self.timers)
-        self.engine = Engine(self.timers)
-        self.holders = []
+        self.engine = FakeEngines(self.timers)
+        self.controllers = []
 
     def gateway(self, readers=2, writers=5):
-        found = fleet(*engines(readers, writers))
-        self.engine.fleets.append(found)
-        settings = gateway_settings(instance=f"g{len(self.holders)}")
+        gateway_fleet = fleet(*engines(readers, writers))
+        self.engine.fleets.append(gateway_fleet)
+        settings = gateway_settings(instance=f"g{len(self.controllers)}")
         leadership = Leadership(
             settings,
-            f"life-{len(self.holders)}",
+            f"life-{len(self.controllers)}",
             self.store,
             self.timers,
-            Random(len(self.holders)),
+            Random(len(self.controllers)),
             Log(),
         )
-        holder = RoleController(
+        controller = RoleController(
             leadership,
-            RoleBalancer(settings.roles, found),
-            found,
+            RoleBalancer(settings.roles, gateway_fleet),
+            gateway_fleet,
             PlatformDialect(),
             self.engine.send,
-            News(),
+            FakePublisher(),
             self.timers,
             Log(),
         )
-        leadership.lead = holder.lead
-        holder.services = lambda: ["s"]
+        leadership.lead = controller.lead
+        controller.services = lambda: ["s"]
         leadership.key_changed(Change(LEADER_KEY, None, 0))
-        self.holders.append(holder)
+        self.controllers.append(controller)
         leadership.start()
         self._follow(leadership)
-        return holder
+        return controller
 
     def _follow(self, leadership):
-        def told(changes):
+        def on_changes(changes):
             for change in changes.changes:
                 if change.key == LEADER_KEY:
                     leadership.key_changed(change)
@@ -116,11 +116,11 @@
 
         after = self.store.revision
         self.store.changes("pimentolink/", after, 3600.0).addCallbacks(
-            told,
+            on_changes,
             lambda _: self.timers.call_later(0.1, lambda: self._follow(leadership)),
         )
 
-    def fences(self):
+    def fencing_tokens(self):
         return [order["fencingToken"] for _, _, order in self.engine.orders]
 
 
@@ -140,49 +140,51 @@
     def test_successor_waits_for_the_last_orders_and_fences_higher(self, world):
         first, second = world.gateway(), world.gateway()
         world.timers.advance(8.0)
-        holder, other = (first, second) if first._leadership.lease else (second, first)
-        ordered = len(world.engine.orders)
-        assert ordered
-        holder._leadership._running.cancel()
+        controller, other = (
+            (first, second) if first._leadership.lease else (second, first)
+        )
+        order_count = len(world.engine.orders)
+        assert order_count
+        controller._leadership._running.cancel()
         world.timers.advance(30.0)
-        last = world.engine.orders[ordered - 1][0]
-        later = world.engine.orders[ordered:]
+        last = world.engine.orders[order_count - 1][0]
+        later = world.engine.orders[order_count:]
         assert later
         assert later[0][0] - last >= gateway_settings().order_lease_ms / 1000
         assert {order["holder"] for _, _, order in later} == {other._leadership.name}
-        assert world.fences() == sorted(world.fences())
+        assert world.fencing_tokens() == sorted(world.fencing_tokens())
 
     def test_no_order_goes_out_without_a_lease(self, world):
         world.gateway()
         world.timers.advance(5.0)
-        ordered = len(world.engine.orders)
+        order_count = len(world.engine.orders)
         world.store.set_down(True)
         world.timers.advance(60.0)
-        assert len(world.engine.orders) <= ordered + 1
+        assert len(world.engine.orders) <= order_count + 1
         assert all(at <= 6.0 for at, _, _ in world.engine.orders)
 
     def test_lease_taken_by_another_ends_the_right_before_the_next_order(self, world):
-        holder = world.gateway()
+        controller = world.gateway()
         world.timers.advance(3.0)
-        world.store.lapse(holder._leadership.lease)
+        world.store.lapse(controller._leadership.lease)
         world.store.put(LEADER_KEY, b'{"instance": "x", "life": "y"}')
-        ordered = len(world.engine.orders)
+        order_count = len(world.engine.orders)
         world.timers.advance(20.0)
-        assert len(world.engine.orders) == ordered
+        assert len(world.engine.orders) == order_count
 
     def test_nothing_is_ordered_after_a_freeze_until_the_lease_is_renewed(self, world):
-        holder = world.gateway()
+        controller = world.gateway()
         world.timers.advance(5.0)
-        holder._leadership.distrust()
-        change = holder._balancer.decide("s", world.timers.now() + 9.0)
+        controller._leadership.distrust()
+        change = controller._balancer.decide("s", world.timers.now() + 9.0)
         assert change is not None
-        assert not holder._may_order(change)
+        assert not controller._may_order(change)
         world.timers.advance(2.0)
-        assert holder._may_order(change)
+        assert controller._may_order(change)
 
 
 class TestRounds:
-    """Pattern: a large fleet that starts in the wrong roles."""
+    """Load pattern: a large fleet that starts in the wrong roles."""
 
     def test_orders_of_one_round_rest_on_one_reading_of_the_right(self, world):
         reads = []
@@ -199,12 +201,12 @@
         world.gateway(readers=12, writers=27)
         world.timers.advance(30.0)
         assert len(world.engine.orders) == 19
-        assert len(set(world.fences())) == 1
+        assert len(set(world.fencing_tokens())) == 1
 
     def test_no_order_of_a_round_goes_out_once_the_right_is_lost(self, world):
-        holder = world.gateway(readers=12, writers=27)
+        controller = world.gateway(readers=12, writers=27)
         world.timers.advance(2.0)
-        world.store.lapse(holder._leadership.lease)
+        world.store.lapse(controller._leadership.lease)
         world.store.put(LEADER_KEY, b'{"instance": "x", "life": "y"}')
         world.timers.advance(20.0)
         assert world.engine.orders == []
@@ -220,10 +222,10 @@
             times_by_engine.setdefault(name, []).append(at)
         for times in times_by_engine.values():
             gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
-            assert all(gap >= IN_DOUBT for gap in gaps)
+            assert all(gap >= ORDER_UNCERTAINTY for gap in gaps)
 
     def test_role_that_the_list_tells_late_is_not_ordered_again(self, world):
-        world.engine.fleets = Late()
+        world.engine.fleets = FrozenFleets()
         world.gateway(readers=1, writers=3)
         world.timers.advance(60.0)
         names = [name for _, name, _ in world.engine.orders]
@@ -231,26 +233,26 @@
 
     def test_engine_that_started_again_gets_no_order_on_its_earlier_life(self, world):
         world.engine.born = 2_000
-        holder = world.gateway()
+        controller = world.gateway()
         for target in engines(2, 5):
-            holder._fleet.put(target._replace(born=1_000))
+            controller._fleet.put(target._replace(born=1_000))
         world.timers.advance(20.0)
         assert world.engine.orders == []
         for target in engines(2, 5):
-            holder._fleet.put(target._replace(born=2_000))
+            controller._fleet.put(target._replace(born=2_000))
         world.timers.advance(20.0)
         assert world.engine.orders
 
     def test_lost_order_is_in_doubt_beyond_its_engines_restart(self, world):
         world.engine.is_silent = True
-        holder = world.gateway(readers=1, writers=3)
+        controller = world.gateway(readers=1, writers=3)
         while not world.engine.orders:
             world.timers.advance(0.1)
         at, name, _ = world.engine.orders[0]
         world.engine.is_silent = False
-        known = holder._fleet.targets_by_id[name].target
-        holder._fleet.put(known._replace(born=5_000))
-        world.timers.advance(IN_DOUBT - 1.0)
+        known = controller._fleet.targets_by_id[name].target
+        controller._fleet.put(known._replace(born=5_000))
+        world.timers.advance(ORDER_UNCERTAINTY - 1.0)
         later = [order for order in world.engine.orders[1:] if order[1] == name]
         assert later == []
 
--- a/tests/test_stalldetector.py
+++ b/tests/test_stalldetector.py
@@ -1,4 +1,4 @@
-"""A process that stood still notices it."""
+"""Tests that a process detects that it was stopped or suspended."""
 
 import pytest
 
@@ -7,44 +7,44 @@
 from pimentolink.timers import ManualTimers
 
 
-class Late(ManualTimers):
-    """Timers whose calls can be held up, as by a stopped process."""
+class StallingTimers(ManualTimers):
+    """Timers whose clocks can jump ahead, as after the process was stopped."""
 
-    stopped = 0.0
+    stalled_for = 0.0
 
     def now(self):
-        return super().now() + self.stopped
+        return super().now() + self.stalled_for
 
     def boot_time(self):
-        return super().boot_time() + self.stopped
+        return super().boot_time() + self.stalled_for
 
 
 @pytest.fixture
 def timers():
-    return Late()
+    return StallingTimers()
 
 
 @pytest.fixture
-def thawed(timers):
-    found = []
-    watch = StallDetector(timers, Log(), lambda: found.append(timers.now()))
-    watch.start()
+def stalls(timers):
+    stalled_at = []
+    detector = StallDetector(timers, Log(), lambda: stalled_at.append(timers.now()))
+    detector.start()
     timers.advance(1.0)
-    return found
+    return stalled_at
 
 
-def test_steady_pace_is_no_freeze(timers, thawed):
+def test_steady_pace_is_no_freeze(timers, stalls):
     timers.advance(10.0)
-    assert thawed == []
+    assert stalls == []
 
 
-def test_stopped_process_is_noticed_once(timers, thawed):
-    timers.stopped = 2.0
+def test_stopped_process_is_noticed_once(timers, stalls):
+    timers.stalled_for = 2.0
     timers.advance(1.0)
-    assert len(thawed) == 1
+    assert len(stalls) == 1
 
 
-def test_suspended_instance_is_noticed_by_the_boot_clock(timers, thawed):
+def test_suspended_instance_is_noticed_by_the_boot_clock(timers, stalls):
     timers.suspend(2.0)
     timers.advance(1.0)
-    assert len(thawed) == 1
+    assert len(stalls) == 1
