--- a/pimentolink/callerhttp.py
+++ b/pimentolink/callerhttp.py
@@ -151,7 +151,7 @@
             if isinstance(event, h11.Request):
                 self._request = event
                 if self._declared_length(event) > self.factory.bounds().body_bytes:
-                    self._reject(BodyTooLarge("the body exceeds the size limit"))
+                    self._reject(BodyTooLarge("the body is over the limit"))
                     return
                 if parser.they_are_waiting_for_100_continue:
                     self._write_event(
@@ -161,7 +161,7 @@
                 self._body.append(bytes(event.data))
                 self._body_size += len(event.data)
                 if self._body_size > self.factory.bounds().body_bytes:
-                    self._reject(BodyTooLarge("the body exceeds the size limit"))
+                    self._reject(BodyTooLarge("the body is over the limit"))
                     return
             elif isinstance(event, h11.EndOfMessage):
                 self._handle_request()
@@ -332,7 +332,7 @@
         self._set_timer(bounds.idle_time, self._request_timed_out)
 
     def _request_timed_out(self) -> None:
-        self._reject(RequestTooSlow("the request was not received in time"))
+        self._reject(RequestTooSlow("the request did not come in time"))
 
     def _set_timer(self, seconds: float, callback: Callable[[], object]) -> None:
         self._stop_timer()
--- a/pimentolink/calls.py
+++ b/pimentolink/calls.py
@@ -232,9 +232,7 @@
         """
         if sending.time_left is not None and sending.time_left <= 0:
             # The event loop runs late, and so does the timer that ends the request.
-            raise CannotBeInTime(
-                "deadline passed before the request was sent", USUAL_PAUSE
-            )
+            raise CannotBeInTime("its time was over before it was sent", USUAL_PAUSE)
         await self._watcher.admit(request)
         message = self._dialect.sending(request, sending)
         return await self.send(request, estimate, message, is_once)
@@ -284,9 +282,7 @@
             raise RejectedUnrun(f"status {head.status}")
         if verdict is Verdict.OTHER_INSTANCE:
             await call.read_all()
-            raise OtherInstance(
-                f"another target now has address {call.estimate.target.address}"
-            )
+            raise OtherInstance(f"another target has {call.estimate.target.address}")
 
     def succeeded(self, request: CallerRequest, estimate: TargetEstimate) -> None:
         """Record a complete response for its target and its request."""
--- a/pimentolink/forwarder.py
+++ b/pimentolink/forwarder.py
@@ -229,7 +229,7 @@
         if isinstance(current, Err):
             return current
         if self.is_closing:
-            return Err(Draining("this gateway is shutting down", USUAL_PAUSE))
+            return Err(Draining("this gateway is about to end", USUAL_PAUSE))
         found = self._dialect.read_request(http, self._timers.now())
         if isinstance(found, Err):
             return found
@@ -265,9 +265,7 @@
         try:
             await with_timeout(self._timers, max(0.0, work.time_left(now)), serving)
         except TimeoutError:
-            no_capacity = CannotBeInTime(
-                "no target had capacity before the deadline", USUAL_PAUSE
-            )
+            no_capacity = CannotBeInTime("no target had room in time", USUAL_PAUSE)
             self._fail(work, work.attempts.expired(no_capacity))
         except Failure as failure:
             self._fail(work, work.attempts.final(failure))
--- a/pimentolink/generation.py
+++ b/pimentolink/generation.py
@@ -185,7 +185,7 @@
             relay.prefill_attempts -= 1
             raise
         except TimeoutError:
-            failure = ConnectionBroken(f"prefill did not end within {timeout:.2f} s")
+            failure = ConnectionBroken(f"no reading within {timeout:.2f} s")
             self._caller.blame(work.request, prefill_engine, failure, ticket.began_at)
             raise failure from None
         finally:
@@ -209,7 +209,7 @@
             call.close()
         if reply.head.status != 200:
             self._caller.failed(work.request, call, reply.head.status)
-            raise ReplyInvalid(f"prefill returned status {reply.head.status}")
+            raise ReplyInvalid(f"a reading's status {reply.head.status}")
         return _Prefilled(self._dialect.read_prompt(reply).unwrap(), prefill_engine)
 
     async def _decode(self, work: Work, prefilled: _Prefilled, relay: _Relay) -> Call:
@@ -236,13 +236,13 @@
         if prefill_engine.is_replaced:
             # The restarted process may use the same handle for another request's KV
             # cache.
-            raise RejectedUnrun("the engine that ran the prefill restarted")
+            raise RejectedUnrun("the engine that read the prompt restarted")
         now = self._timers.now()
         decode_engine = self._placer.writer(
             work.service, prefill_engine.target.data_centre, now
         )
         if decode_engine is None:
-            raise NoTarget(f"no engine of {work.service} runs decodes", 0.5)
+            raise NoTarget(f"no engine of {work.service} writes answers", 0.5)
         address = prefill_engine.target.address
         sending = self._sending(work, decode_engine, relay)._replace(
             cache_source=self._dialect.cache_source(address, prefilled.prompt)
@@ -314,7 +314,7 @@
                 await self._relay_failure(work, call, relay)
                 return
             if not self._dialect.is_signed(call.head):
-                raise ReplyInvalid("successful response is not signed")
+                raise ReplyInvalid("a success that the engine does not vouch for")
             await relay.run(call)
         except Failure as failure:
             call.close()
--- a/pimentolink/httphead.py
+++ b/pimentolink/httphead.py
@@ -28,7 +28,7 @@
     """
     end = received.find(HEAD_END)
     if end > max_bytes or (end < 0 and len(received) > max_bytes):
-        return Err(HeadTooLarge(f"the head exceeds {max_bytes} bytes"))
+        return Err(HeadTooLarge(f"the head is over {max_bytes} bytes"))
     if end >= 0:
         return Ok(end + len(HEAD_END))
     # The LF after a CR at the end may not have been received yet.
@@ -51,11 +51,9 @@
     if _BARE_LINE_END.search(head):
         return InvalidRequest("a line ends with a bare CR or LF")
     if _FOLDED.search(head):
-        return InvalidRequest("obsolete line folding in a header")
+        return InvalidRequest("a header is folded")
     if _FORBIDDEN_BYTE.search(head):
-        return InvalidRequest(
-            "the head contains a control character or a byte above 0x7e"
-        )
+        return InvalidRequest("the head holds a control character or one above 0x7e")
     request_line, *lines = head[: -len(HEAD_END)].split(b"\r\n")
     if not _REQUEST_LINE.fullmatch(request_line):
         return InvalidRequest("the request line is malformed")
@@ -74,13 +72,13 @@
     lengths = values_by_name.get(b"content-length", [])
     encodings = values_by_name.get(b"transfer-encoding", [])
     if len(values_by_name.get(b"host", [])) != 1:
-        return InvalidRequest("there must be exactly one Host header")
+        return InvalidRequest("there is not exactly one Host")
     if lengths and encodings:
-        return InvalidRequest("both Content-Length and Transfer-Encoding are present")
+        return InvalidRequest("both a length and a transfer encoding")
     if len(lengths) > 1 or (lengths and not re.fullmatch(rb"\d{1,15}", lengths[0])):
-        return InvalidRequest("Content-Length is malformed or repeated")
+        return InvalidRequest("the length is malformed")
     if encodings and [value.lower() for value in encodings] != [b"chunked"]:
-        return InvalidRequest("Transfer-Encoding is not exactly 'chunked'")
+        return InvalidRequest("the transfer encoding is not exactly 'chunked'")
     if encodings and request_line.endswith(b"HTTP/1.0"):
-        return InvalidRequest("Transfer-Encoding in an HTTP/1.0 request")
+        return InvalidRequest("a transfer encoding in HTTP/1.0")
     return None
--- a/pimentolink/plaincalls.py
+++ b/pimentolink/plaincalls.py
@@ -159,7 +159,7 @@
             call.close()
         if self._dialect.verdict(reply.head) is Verdict.SUCCESS:
             if not self._dialect.is_signed(reply.head):
-                raise ReplyInvalid("successful response is not signed")
+                raise ReplyInvalid("a success that the target does not vouch for")
             self._caller.succeeded(request, estimate)
         elif reply.head.status >= 500:
             self._caller.failed(request, call, reply.head.status)
--- a/pimentolink/targethttp.py
+++ b/pimentolink/targethttp.py
@@ -147,7 +147,7 @@
             size += len(chunk)
             if size > max_bytes:
                 self.abort()
-                raise ReplyInvalid(f"response exceeds {max_bytes} bytes")
+                raise ReplyInvalid(f"an answer over {max_bytes} bytes")
             chunks.append(chunk)
         return b"".join(chunks)
 
@@ -224,9 +224,7 @@
             return
         self._parser = None
         if self._is_discarding:
-            self._fail(
-                ReplyInvalid("connection ended after a response to another request")
-            )
+            self._fail(ReplyInvalid("an answer to another request, then the end"))
             return
         self._has_ended = True
         self.is_reusable = can_continue and not rest and self.is_open
