--- a/pimentolink/deploymentstatus.py
+++ b/pimentolink/deploymentstatus.py
@@ -1,4 +1,4 @@
-"""What the store tells of a deployment that gateways serve."""
+"""Reads the status of a deployment from the store."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 class ListedGateway(NamedTuple):
     """
-    A gateway as the store lists it.
+    A gateway that is registered in the store.
 
-    :ivar address: for datagrams of the others.
-    :ivar life: of its process.
+    :ivar address: where it receives datagrams of other gateways.
+    :ivar life: identity of its process.
     """
 
     name: str
@@ -32,10 +32,10 @@
 
 class ListedSuspect(NamedTuple):
     """
-    A request that gateways hold back.
+    A request that gateways hold back because it may crash targets.
 
-    :ivar fingerprint: as their log lines name it.
-    :ivar crashes: of targets where it was under way.
+    :ivar fingerprint: fingerprint by which log lines name the request.
+    :ivar crashes: number of targets that crashed while it was running there.
     """
 
     fingerprint: str
@@ -44,14 +44,17 @@
 
 class DeploymentStatus(NamedTuple):
     """
-    How a deployment stands.
-
-    :ivar revision: of the store.
-    :ivar version: of the configuration; 0 before the first one.
-    :ivar routes: that it has.
-    :ivar leader: instance that may give orders to engines; empty if none may.
-    :ivar suspects: requests that may crash targets, the worst first.
-    :ivar unreadable: keys whose documents have faults, with the fault.
+    Status of a deployment.
+
+    :ivar revision: revision of the store.
+    :ivar version: version of the configuration; 0 before the first one.
+    :ivar routes: number of routes in the configuration.
+    :ivar targets: registered targets.
+    :ivar gateways: registered gateways.
+    :ivar leader: instance of the gateway that leads and may order engines to change
+        roles; empty if none does.
+    :ivar suspects: requests suspected of crashing targets, most crashes first.
+    :ivar unreadable: keys whose documents are invalid, each with the error.
     """
 
     revision: int
@@ -65,13 +68,13 @@
 
 
 class StatusReader:
-    """Reads the documents of a store one after the other."""
+    """Collects the status from the documents of a store."""
 
     def __init__(self, documents: Documents) -> None:
         """
-        Start with nothing read.
+        Create a reader for one snapshot.
 
-        :param documents: reads operators' and targets' documents.
+        :param documents: decodes the documents of operators and targets.
         """
         self._documents = documents
         self._version = 0
@@ -83,9 +86,9 @@
         self._unreadable: list[str] = []
 
     def read(self, snapshot: Snapshot) -> DeploymentStatus:
-        """Read all keys of a store."""
+        """Derive the status from all keys of a store."""
         for item in snapshot.items:
-            self._take(item)
+            self._read_item(item)
         return DeploymentStatus(
             snapshot.revision,
             self._version,
@@ -102,19 +105,19 @@
         listed = [ListedSuspect(name, len(keys)) for name, keys in crashes.items()]
         return sorted(listed, key=lambda item: -item.crashes)
 
-    def _take(self, item: Item) -> None:
+    def _read_item(self, item: Item) -> None:
         if item.key == self._documents.configuration_key:
-            self._take_configuration(item)
+            self._read_configuration(item)
         elif item.key.startswith(self._documents.target_prefix):
-            self._take_target(item)
+            self._read_target(item)
         elif item.key.startswith(GATEWAY_PREFIX) or item.key == LEADER_KEY:
-            self._take_own(item)
+            self._read_gateway_key(item)
         elif item.key.startswith(SUSPECT_PREFIX):
-            document = self._readable(item, SuspectDocument)
+            document = self._decode(item, SuspectDocument)
             if document is not None:
                 self._suspects.take(document)
 
-    def _take_configuration(self, item: Item) -> None:
+    def _read_configuration(self, item: Item) -> None:
         found = self._documents.read_configuration(item.value)
         if isinstance(found, Err):
             self._unreadable.append(f"{item.key}: {found.err_value}")
@@ -122,24 +125,24 @@
         self._version = found.ok_value.version
         self._routes = len(found.ok_value.routes_by_name)
 
-    def _take_target(self, item: Item) -> None:
+    def _read_target(self, item: Item) -> None:
         found = self._documents.read_target(item.key, item.value)
         if isinstance(found, Err):
             self._unreadable.append(f"{item.key}: {found.err_value}")
             return
         self._targets.append(found.ok_value)
 
-    def _take_own(self, item: Item) -> None:
+    def _read_gateway_key(self, item: Item) -> None:
         if item.key == LEADER_KEY:
-            holder = self._readable(item, Leader)
-            self._leader = holder.instance if holder is not None else ""
+            leader = self._decode(item, Leader)
+            self._leader = leader.instance if leader is not None else ""
             return
-        entry = self._readable(item, GatewayEntry)
+        entry = self._decode(item, GatewayEntry)
         if entry is not None:
             name = item.key.removeprefix(GATEWAY_PREFIX)
             self._gateways.append(ListedGateway(name, entry.address, entry.life))
 
-    def _readable(self, item: Item, kind: type[Read]) -> Read | None:
+    def _decode(self, item: Item, kind: type[Read]) -> Read | None:
         found = read_json(item.value, kind)
         if isinstance(found, Err):
             self._unreadable.append(f"{item.key}: {found.err_value.detail}")
--- a/pimentolink/loganalysis.py
+++ b/pimentolink/loganalysis.py
@@ -1,4 +1,4 @@
-"""Tells from gateways' logs how well engines were used and prompts were predicted."""
+"""Derives engine utilisation and prediction accuracy from gateways' logs."""
 
 from __future__ import annotations
 
@@ -11,21 +11,24 @@
 
 from pimentolink.errors import ConnectionBroken, ReplyInvalid
 
-# Shares of the ratios of time taken to time predicted that are told.
+# Reported quantiles of the ratio of measured to predicted prefill time.
 QUANTILES = (0.1, 0.5, 0.9)
-# Failures after which an attempt's target may have ended.
-BREAKS = frozenset({ConnectionBroken.code, ReplyInvalid.code})
+# Codes of failures that may mean that the attempt's target crashed.
+BREAK_CODES = frozenset({ConnectionBroken.code, ReplyInvalid.code})
 
 
-class WindowFigures(NamedTuple):
+class WindowSummary(NamedTuple):
     """
-    What happened within some seconds, over all gateways whose logs were read.
-
-    :ivar begins: seconds since the first line.
-    :ivar refused_idle: prompts turned away while an engine had nothing to read.
-    :ivar waited: mean seconds from a prompt's arrival to its sending.
-    :ivar reread_share: share of prompt tokens that was read, neither held nor fetched.
-    :ivar busy_by_engine: share of the time for which each engine read prompts.
+    Events within one time window, over all gateways whose logs were read.
+
+    :ivar begins: start of the window in seconds since the first line.
+    :ivar placed: prompts sent to an engine.
+    :ivar refused: prompts refused without a prefill.
+    :ivar refused_idle: prompts refused while an engine had no prefill to do.
+    :ivar waited: mean seconds from a prompt's arrival until it was sent to an engine.
+    :ivar reread_share: share of prompt tokens that engines had to compute, because they
+        were neither in the engine's cache nor copied from another engine.
+    :ivar busy_by_engine: share of the time that each engine spent on prefills.
     """
 
     begins: float
@@ -37,12 +40,14 @@
     busy_by_engine: dict[str, float]
 
 
-class PredictionFigures(NamedTuple):
+class PredictionSummary(NamedTuple):
     """
-    How readings at engines of one role went against their prediction.
+    Measured against predicted prefill times at the engines of one role.
 
-    :ivar ratios: time taken over time predicted, at each of ``QUANTILES``.
-    :ivar tokens_per_second: while an engine was busy with them.
+    :ivar readings: prefills that ended.
+    :ivar failed: those of them that failed.
+    :ivar ratios: measured over predicted time, at each of ``QUANTILES``.
+    :ivar tokens_per_second: prefill rate while an engine was busy.
     """
 
     role: str
@@ -53,7 +58,11 @@
 
 
 class RoleOrder(NamedTuple):
-    """An order that changed an engine's role, and what it rested on."""
+    """
+    An order that changed an engine's role, and the inputs of that decision.
+
+    :ivar at: seconds since the first line.
+    """
 
     at: float
     engine: str
@@ -63,8 +72,8 @@
     regret: float
 
 
-class RouteFigures(NamedTuple):
-    """Outcomes of the requests of one route, failures by code."""
+class RouteSummary(NamedTuple):
+    """Outcomes of the requests of one route, with failures by code."""
 
     route: str
     answered: int
@@ -73,12 +82,14 @@
 
 class BrokenRequest(NamedTuple):
     """
-    One request, under all names that it came with, that broke off at several targets.
+    A request whose attempts broke off at several targets.
+
+    Requests of equal content have one fingerprint, whatever their request ids.
 
-    :ivar targets: at which it broke off while it was under way.
-    :ivar attempts: that broke off.
-    :ivar shortest: least seconds from its sending until it broke off.
-    :ivar longest: most seconds.
+    :ivar targets: number of targets at which an attempt broke off.
+    :ivar attempts: number of attempts that broke off.
+    :ivar shortest: shortest time in seconds from sending an attempt until it broke off.
+    :ivar longest: longest such time in seconds.
     """
 
     fingerprint: str
@@ -90,109 +101,111 @@
 
 class Analysis(NamedTuple):
     """
-    All that is told of some logs.
+    Results of analyzing some logs.
 
-    :ivar broken: requests that broke off at two targets or more, most targets first.
+    :ivar lines: number of lines read.
+    :ivar unreadable: number of lines that could not be parsed.
+    :ivar broken: requests that broke off at two or more targets, most targets first.
     """
 
     lines: int
     unreadable: int
-    windows: list[WindowFigures]
-    predictions: list[PredictionFigures]
+    windows: list[WindowSummary]
+    predictions: list[PredictionSummary]
     orders: list[RoleOrder]
-    routes: list[RouteFigures]
+    routes: list[RouteSummary]
     broken: list[BrokenRequest]
 
 
-class _Line(NamedTuple):
+class _LogLine(NamedTuple):
     at: float
     fields: dict[str, Any]
 
 
-class _Break(NamedTuple):
-    """An attempt that broke off at a target, seconds after its sending."""
+class _BrokenAttempt(NamedTuple):
+    """An attempt that broke off at a target, and how many seconds after it was sent."""
 
     target: str
     after: float
 
 
-class _Window:
-    """Sums of one window while lines are read."""
+class _WindowSums:
+    """Running sums of one window."""
 
     def __init__(self) -> None:
         self.placed = 0
         self.refused = 0
         self.refused_idle = 0
         self.waited = 0.0
-        self.tokens_read = 0
-        self.tokens_held = 0
+        self.tokens_computed = 0
+        self.tokens_cached = 0
         self.busy_by_engine: dict[str, float] = defaultdict(float)
 
 
-class _Reader:
-    """Takes lines in order of time and sums them up."""
+class _Summarizer:
+    """Aggregates log lines, which must be added in order of time."""
 
     def __init__(self, window: float) -> None:
         self._window = window
-        self._windows: dict[int, _Window] = defaultdict(_Window)
-        self._outstanding: Counter[str] = Counter()
+        self._windows: dict[int, _WindowSums] = defaultdict(_WindowSums)
+        self._outstanding_by_engine: Counter[str] = Counter()
         self._role_by_engine: dict[str, str] = {}
-        self._readings_by_role: dict[str, list[dict[str, Any]]] = defaultdict(list)
-        self._answered: Counter[str] = Counter()
-        self._failed: dict[str, Counter[str]] = defaultdict(Counter)
-        self._broken: dict[str, list[_Break]] = defaultdict(list)
+        self._prefills_by_role: dict[str, list[dict[str, Any]]] = defaultdict(list)
+        self._answered_by_route: Counter[str] = Counter()
+        self._failures_by_route: dict[str, Counter[str]] = defaultdict(Counter)
+        self._broken_by_fingerprint: dict[str, list[_BrokenAttempt]] = defaultdict(list)
         self.orders: list[RoleOrder] = []
-        self._takers = {
-            "target_listed": self._listed,
-            "target_gone": self._gone,
-            "prompt_placed": self._placed,
-            "prompt_refused": self._refused,
-            "reading_ended": self._read,
-            "order_done": self._ordered,
-            "answered": self._answer,
-            "request_failed": self._failure,
-            "attempt_failed": self._attempt,
+        self._handlers = {
+            "target_listed": self._on_target_listed,
+            "target_gone": self._on_target_gone,
+            "prompt_placed": self._on_prompt_placed,
+            "prompt_refused": self._on_prompt_refused,
+            "reading_ended": self._on_reading_ended,
+            "order_done": self._on_order_done,
+            "answered": self._on_answered,
+            "request_failed": self._on_request_failed,
+            "attempt_failed": self._on_attempt_failed,
         }
 
-    def take(self, line: _Line) -> None:
-        taker = self._takers.get(str(line.fields.get("event")))
-        if taker is not None:
-            taker(line.at, line.fields)
+    def add(self, line: _LogLine) -> None:
+        handler = self._handlers.get(str(line.fields.get("event")))
+        if handler is not None:
+            handler(line.at, line.fields)
 
-    def _at(self, at: float) -> _Window:
+    def _window_at(self, at: float) -> _WindowSums:
         return self._windows[int(at // self._window)]
 
-    def _listed(self, at: float, fields: dict[str, Any]) -> None:
+    def _on_target_listed(self, at: float, fields: dict[str, Any]) -> None:
         if fields.get("role") != "none":
             self._role_by_engine[fields["target"]] = fields["role"]
 
-    def _gone(self, at: float, fields: dict[str, Any]) -> None:
+    def _on_target_gone(self, at: float, fields: dict[str, Any]) -> None:
         self._role_by_engine.pop(fields["target"], None)
-        self._outstanding.pop(fields["target"], None)
+        self._outstanding_by_engine.pop(fields["target"], None)
 
-    def _placed(self, at: float, fields: dict[str, Any]) -> None:
-        window = self._at(at)
+    def _on_prompt_placed(self, at: float, fields: dict[str, Any]) -> None:
+        window = self._window_at(at)
         window.placed += 1
         window.waited += fields["waited"]
-        window.tokens_read += fields["tokens"]
-        window.tokens_held += fields["held"] + fields["copied"]
-        self._outstanding[fields["target"]] += 1
+        window.tokens_computed += fields["tokens"]
+        window.tokens_cached += fields["held"] + fields["copied"]
+        self._outstanding_by_engine[fields["target"]] += 1
 
-    def _refused(self, at: float, fields: dict[str, Any]) -> None:
-        window = self._at(at)
+    def _on_prompt_refused(self, at: float, fields: dict[str, Any]) -> None:
+        window = self._window_at(at)
         window.refused += 1
         engines = self._role_by_engine
-        if any(self._outstanding[engine] <= 0 for engine in engines):
+        if any(self._outstanding_by_engine[engine] <= 0 for engine in engines):
             window.refused_idle += 1
 
-    def _read(self, at: float, fields: dict[str, Any]) -> None:
-        self._outstanding[fields["target"]] -= 1
-        self._readings_by_role[fields["role"]].append(fields)
+    def _on_reading_ended(self, at: float, fields: dict[str, Any]) -> None:
+        self._outstanding_by_engine[fields["target"]] -= 1
+        self._prefills_by_role[fields["role"]].append(fields)
         if fields["busy"] is not None:
             name = f"{fields['target']} ({fields['role']})"
-            self._at(at).busy_by_engine[name] += fields["busy"]
+            self._window_at(at).busy_by_engine[name] += fields["busy"]
 
-    def _ordered(self, at: float, fields: dict[str, Any]) -> None:
+    def _on_order_done(self, at: float, fields: dict[str, Any]) -> None:
         self.orders.append(
             RoleOrder(
                 round(at, 2),
@@ -204,73 +217,79 @@
             )
         )
 
-    def _answer(self, at: float, fields: dict[str, Any]) -> None:
-        self._answered[str(fields.get("route"))] += 1
+    def _on_answered(self, at: float, fields: dict[str, Any]) -> None:
+        self._answered_by_route[str(fields.get("route"))] += 1
 
-    def _failure(self, at: float, fields: dict[str, Any]) -> None:
-        self._failed[str(fields.get("route"))][str(fields.get("code"))] += 1
+    def _on_request_failed(self, at: float, fields: dict[str, Any]) -> None:
+        self._failures_by_route[str(fields.get("route"))][str(fields.get("code"))] += 1
 
-    def _attempt(self, at: float, fields: dict[str, Any]) -> None:
-        if fields["after"] is not None and fields["code"] in BREAKS:
-            found = _Break(str(fields["target"]), float(fields["after"]))
-            self._broken[str(fields["fingerprint"])].append(found)
+    def _on_attempt_failed(self, at: float, fields: dict[str, Any]) -> None:
+        if fields["after"] is not None and fields["code"] in BREAK_CODES:
+            attempt = _BrokenAttempt(str(fields["target"]), float(fields["after"]))
+            self._broken_by_fingerprint[str(fields["fingerprint"])].append(attempt)
 
     def broken(self) -> list[BrokenRequest]:
-        found = [
+        requests = [
             BrokenRequest(
                 fingerprint,
-                len({item.target for item in breaks}),
-                len(breaks),
-                min(item.after for item in breaks),
-                max(item.after for item in breaks),
+                len({item.target for item in attempts}),
+                len(attempts),
+                min(item.after for item in attempts),
+                max(item.after for item in attempts),
             )
-            for fingerprint, breaks in self._broken.items()
+            for fingerprint, attempts in self._broken_by_fingerprint.items()
         ]
-        several = [item for item in found if item.targets > 1]
+        several = [item for item in requests if item.targets > 1]
         return sorted(several, key=lambda item: (-item.targets, item.fingerprint))
 
-    def windows(self) -> list[WindowFigures]:
+    def windows(self) -> list[WindowSummary]:
         return [
-            WindowFigures(
+            WindowSummary(
                 begins=number * self._window,
-                placed=found.placed,
-                refused=found.refused,
-                refused_idle=found.refused_idle,
-                waited=round(found.waited / max(1, found.placed), 4),
+                placed=sums.placed,
+                refused=sums.refused,
+                refused_idle=sums.refused_idle,
+                waited=round(sums.waited / max(1, sums.placed), 4),
                 reread_share=round(
-                    found.tokens_read / max(1, found.tokens_read + found.tokens_held), 3
+                    sums.tokens_computed
+                    / max(1, sums.tokens_computed + sums.tokens_cached),
+                    3,
                 ),
                 busy_by_engine={
                     name: round(busy / self._window, 2)
-                    for name, busy in sorted(found.busy_by_engine.items())
+                    for name, busy in sorted(sums.busy_by_engine.items())
                 },
             )
-            for number, found in sorted(self._windows.items())
+            for number, sums in sorted(self._windows.items())
         ]
 
-    def predictions(self) -> list[PredictionFigures]:
+    def predictions(self) -> list[PredictionSummary]:
         return [
-            _prediction(role, readings)
-            for role, readings in sorted(self._readings_by_role.items())
+            _summarize_predictions(role, prefills)
+            for role, prefills in sorted(self._prefills_by_role.items())
         ]
 
-    def routes(self) -> list[RouteFigures]:
-        names = sorted(self._answered.keys() | self._failed.keys())
+    def routes(self) -> list[RouteSummary]:
+        names = sorted(self._answered_by_route.keys() | self._failures_by_route.keys())
         return [
-            RouteFigures(name, self._answered[name], dict(self._failed[name]))
+            RouteSummary(
+                name, self._answered_by_route[name], dict(self._failures_by_route[name])
+            )
             for name in names
         ]
 
 
-def _prediction(role: str, readings: list[dict[str, Any]]) -> PredictionFigures:
-    good = [item for item in readings if item["good"] and item["predicted"] > 0]
-    ratios = sorted(item["took"] / item["predicted"] for item in good)
-    busy = sum(item["busy"] or 0.0 for item in good)
-    tokens = sum(item["tokens"] for item in good if item["busy"])
-    return PredictionFigures(
+def _summarize_predictions(
+    role: str, prefills: list[dict[str, Any]]
+) -> PredictionSummary:
+    completed = [item for item in prefills if item["good"] and item["predicted"] > 0]
+    ratios = sorted(item["took"] / item["predicted"] for item in completed)
+    busy = sum(item["busy"] or 0.0 for item in completed)
+    tokens = sum(item["tokens"] for item in completed if item["busy"])
+    return PredictionSummary(
         role=role,
-        readings=len(readings),
-        failed=sum(not item["good"] for item in readings),
+        readings=len(prefills),
+        failed=sum(not item["good"] for item in prefills),
         ratios=tuple(round(_quantile(ratios, share), 2) for share in QUANTILES),
         tokens_per_second=round(tokens / busy) if busy else 0.0,
     )
@@ -282,47 +301,51 @@
     return values[min(len(values) - 1, int(share * len(values)))]
 
 
-def _lines(texts: Iterable[str]) -> Iterator[_Line | None]:
-    """Read lines, also those that a collector put words before; ``None`` for others."""
+def _parse_lines(texts: Iterable[str]) -> Iterator[_LogLine | None]:
+    """
+    Parse log lines, including lines to which a log collector added a prefix.
+
+    :returns: ``None`` for each line that cannot be parsed.
+    """
     decoder = msgspec.json.Decoder(dict[str, Any])
     for text in texts:
-        begin = text.find("{")
-        if begin < 0:
+        offset = text.find("{")
+        if offset < 0:
             yield None
             continue
         try:
-            fields = decoder.decode(text[begin:])
-            told = datetime.fromisoformat(str(fields["timestamp"]))
+            fields = decoder.decode(text[offset:])
+            parsed_time = datetime.fromisoformat(str(fields["timestamp"]))
         except (msgspec.DecodeError, KeyError, ValueError):
             yield None
             continue
-        yield _Line(told.timestamp(), fields)
+        yield _LogLine(parsed_time.timestamp(), fields)
 
 
 def analyze(texts: Iterable[str], window: float) -> Analysis:
     """
-    Sum up the logs of some gateways.
+    Analyze the logs of some gateways.
 
-    :param texts: lines, in any order over gateways.
-    :param window: seconds of each window.
+    :param texts: log lines of one or more gateways, in any order.
+    :param window: length of a window in seconds.
     """
-    found = list(_lines(texts))
-    lines = sorted((line for line in found if line), key=lambda line: line.at)
-    begin = lines[0].at if lines else 0.0
-    reader = _Reader(window)
-    unreadable = len(found) - len(lines)
+    parsed = list(_parse_lines(texts))
+    lines = sorted((line for line in parsed if line), key=lambda line: line.at)
+    start = lines[0].at if lines else 0.0
+    summarizer = _Summarizer(window)
+    unreadable = len(parsed) - len(lines)
     for line in lines:
         try:
-            reader.take(line._replace(at=line.at - begin))
+            summarizer.add(line._replace(at=line.at - start))
         except (KeyError, TypeError):
-            # A line of another version lacks what is summed up here.
+            # Lines written by another version may lack a field that is needed here.
             unreadable += 1
     return Analysis(
-        len(found),
+        len(parsed),
         unreadable,
-        reader.windows(),
-        reader.predictions(),
-        reader.orders,
-        reader.routes(),
-        reader.broken(),
+        summarizer.windows(),
+        summarizer.predictions(),
+        summarizer.orders,
+        summarizer.routes(),
+        summarizer.broken(),
     )
--- a/pimentolink/metering.py
+++ b/pimentolink/metering.py
@@ -1,4 +1,4 @@
-"""Puts the parts together that count and report the usage of organisations."""
+"""Counts the usage of organisations at a gateway and reports it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Metering:
-    """Counts what begins to run here, and reports for all gateways as their leader."""
+    """Counts requests that run here, and reports for all gateways if this one leads."""
 
     def __init__(
         self,
@@ -28,16 +28,16 @@
         log: Log,
     ) -> None:
         """
-        Prepare; :meth:`start` begins.
+        Create publisher and reporter; :meth:`start` activates them.
 
-        :param settings: windows and patience.
-        :param life: of this process.
-        :param leadership: tells whether this gateway reports.
+        :param settings: window length, reporting deadline and time-out.
+        :param life: identity of this process.
+        :param leadership: leader election among the gateways; the leader reports.
         :param keyspace: the store.
-        :param api: takes reports.
-        :param peers: the other gateways.
+        :param api: receives the reports.
+        :param peers: exchanges messages with the other gateways.
         :param timers: the timer service.
-        :param log: where events go.
+        :param log: the event log.
         """
         clock = SynchronizedClock(timers)
         self.publisher = UsagePublisher(
@@ -47,23 +47,23 @@
         self.reporter = UsageReporter(
             settings, leadership, keyspace, api, self.publisher, clock, timers, log
         )
-        leadership.on_leader = self.publisher.tell_leader
-        peers.on_usage = self.publisher.take
+        leadership.on_leader = self.publisher.send_to_leader
+        peers.on_usage = self.publisher.receive
 
     def start(self) -> None:
-        """Count and report."""
+        """Start to exchange counts and to report."""
         self.publisher.start()
         self.reporter.start()
 
     def stop(self) -> None:
-        """Tell the others what was counted here, and report no more."""
+        """Stop reporting, and send the counts known here to other gateways."""
         self.reporter.stop()
         self.publisher.stop()
 
-    def begun(self, organisation: str, began_at: float) -> None:
-        """Count a request; see :meth:`UsagePublisher.begun`."""
-        self.publisher.begun(organisation, began_at)
+    def begun(self, organisation: str, started_at: float) -> None:
+        """Count a request; see :meth:`UsagePublisher.request_started`."""
+        self.publisher.request_started(organisation, started_at)
 
     def key_changed(self, change: Change) -> None:
-        """Learn of a change of the key of reports."""
+        """Apply a change of the key that holds the newest committed report."""
         self.reporter.key_changed(change)
--- a/pimentolink/pages.py
+++ b/pimentolink/pages.py
@@ -1,4 +1,4 @@
-"""Pages of a gateway itself: whether it is ready, and its metrics."""
+"""Serves pages about the gateway itself: readiness and metrics."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class Page:
-    """Answers every request with one page."""
+    """Answers every request with the same generated page."""
 
-    def __init__(self, page: Callable[[], tuple[int, bytes]]) -> None:
+    def __init__(self, render: Callable[[], tuple[int, bytes]]) -> None:
         """
-        Prepare.
+        Create a handler.
 
-        :param page: makes status and body anew for each request.
+        :param render: generates status and body; called for each request.
         """
-        self._page = page
+        self._render = render
 
     async def handle(self, http: HttpRequest, responder: CallerConnection) -> None:
-        """Answer with the page."""
-        status, body = self._page()
+        """Answer a request with the page."""
+        status, body = self._render()
         responder.answer(status, ((b"Content-Type", b"text/plain"),), body)
--- a/pimentolink/process.py
+++ b/pimentolink/process.py
@@ -1,4 +1,4 @@
-"""Runs one service as a process until it is told to stop."""
+"""Runs one service as a process until it receives a stop signal."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
 
 class Service(Protocol):
-    """What a process runs."""
+    """A service that a process runs."""
 
     async def start(self) -> bool | None:
-        """Begin; ``False`` says that it cannot."""
+        """Start; returns ``False`` if another process holds its slot."""
 
     async def stop(self) -> None:
-        """End gracefully."""
+        """Stop gracefully."""
 
 
 class Process:
-    """One service between its start and its stop."""
+    """Starts one service, handles signals and stops the service gracefully."""
 
     def __init__(self, reactor: Any, make_service: Callable[[Any], Service]) -> None:
         """
-        Prepare.
+        Create a process; :meth:`start` starts its service.
 
-        :param reactor: the loop.
-        :param make_service: makes the service on the loop.
+        :param reactor: the event loop.
+        :param make_service: creates the service on the event loop.
         """
         self._reactor = reactor
         self._make_service = make_service
@@ -41,39 +41,39 @@
         self.exit_code = 0
 
     def start(self) -> None:
-        """Begin, on the loop."""
+        """Install signal handlers and start the service on the event loop."""
         for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, self._signalled)
-        signal.signal(signal.SIGHUP, self._hung_up)
+            signal.signal(number, self._on_stop_signal)
+        signal.signal(signal.SIGHUP, self._on_hangup)
         self._service = self._make_service(self._reactor)
         started = Deferred.fromCoroutine(self._service.start())
-        started.addCallbacks(self._started, self._broke)
+        started.addCallbacks(self._on_started, self._on_failure)
 
-    def _signalled(self, number: int, frame: object) -> None:
+    def _on_stop_signal(self, number: int, frame: object) -> None:
         self._reactor.callFromThread(self.stop)
 
-    def _hung_up(self, number: int, frame: object) -> None:
+    def _on_hangup(self, number: int, frame: object) -> None:
         reload = getattr(self._service, "reload", None)
         if reload is not None:
             self._reactor.callFromThread(reload)
 
     def stop(self) -> None:
-        """End gracefully; does nothing when called again."""
+        """Stop gracefully; further calls do nothing."""
         if self._is_stopping:
             return
         self._is_stopping = True
         stopped = Deferred.fromCoroutine(self._service.stop())
-        stopped.addErrback(self._broke)
+        stopped.addErrback(self._on_failure)
         stopped.addBoth(lambda _: self._reactor.stop())
 
-    def _started(self, is_running: bool | None) -> None:
+    def _on_started(self, is_running: bool | None) -> None:
         if is_running is False:
             self.exit_code = EXIT_SLOT_TAKEN
             self._reactor.stop()
 
-    def _broke(self, failure: TwistedFailure) -> None:
-        # A start or stop that fails is a fault of the process itself; without this line
-        # it would end without a word.
+    def _on_failure(self, failure: TwistedFailure) -> None:
+        # A failed start or stop is a fault of this process. Without this line it would
+        # exit without any log.
         traceback = failure.getTraceback()
         logs.Log().write(logs.LogEvent.UNHANDLED_ERROR, traceback=traceback)
         self.exit_code = EXIT_FAILED
--- a/pimentolink/usage.py
+++ b/pimentolink/usage.py
@@ -1,11 +1,12 @@
-"""Counts the requests of each organisation that began to run, by window of time."""
+"""Counts the requests that started to run, by organisation and time window."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator, Mapping
 from typing import NamedTuple
 
-# Windows before the newest that are kept; what was not reported by then is late.
+# Windows kept before the newest one. Usage that has not been reported by then is past
+# its deadline.
 MAX_WINDOWS = 8
 
 Counts = dict[str, int]
@@ -13,9 +14,11 @@
 
 class WindowTotals(NamedTuple):
     """
-    What one life of a gateway counted in one window.
+    Requests that one gateway process counted in one window.
 
-    :ivar counts: requests that began to run, by organisation.
+    :ivar life: identity of the process; a restarted gateway has a new one.
+    :ivar window: number of the window.
+    :ivar counts: requests that started to run, by organisation.
     """
 
     life: str
@@ -23,55 +26,56 @@
     counts: Counts
 
 
-class UsageBook:
+class UsageCounters:
     """
-    Totals of all gateways.
+    Usage counters of all gateway processes, by window.
 
-    Totals only grow, so they may be told again, late and out of order.
+    A counter is written by one process only and never decreases. Merging keeps the
+    maximum, so totals may arrive late, repeatedly and out of order.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
-        self._counts_by_life: dict[int, dict[str, Counts]] = {}
+        """Create empty counters."""
+        self._counts_by_window: dict[int, dict[str, Counts]] = {}
 
     def add(self, life: str, window: int, organisation: str) -> None:
-        """Count one request."""
+        """Count one request that started to run."""
         counts = self._counts(life, window)
         counts[organisation] = counts.get(organisation, 0) + 1
 
-    def take(self, totals: WindowTotals) -> None:
-        """Learn totals, some of which may be known."""
+    def merge(self, totals: WindowTotals) -> None:
+        """Merge totals, some or all of which may be known already."""
         counts = self._counts(totals.life, totals.window)
         for organisation, count in totals.counts.items():
             counts[organisation] = max(count, counts.get(organisation, 0))
 
     def totals(self, window: int) -> Counts:
-        """Add up what all gateways counted in a window."""
-        added: Counts = {}
-        for counts in self._counts_by_life.get(window, {}).values():
+        """Return the counts of a window, summed over all gateway processes."""
+        sums: Counts = {}
+        for counts in self._counts_by_window.get(window, {}).values():
             for organisation, count in counts.items():
-                added[organisation] = added.get(organisation, 0) + count
-        return dict(sorted(added.items()))
+                sums[organisation] = sums.get(organisation, 0) + count
+        return dict(sorted(sums.items()))
 
     def all_totals(self, windows: Iterable[int]) -> Iterator[WindowTotals]:
-        """List what is known of some windows, by life."""
+        """Yield the totals of each gateway process in each of the given windows."""
         for window in windows:
-            for life, counts in self._counts_by_life.get(window, {}).items():
+            for life, counts in self._counts_by_window.get(window, {}).items():
                 yield WindowTotals(life, window, dict(counts))
 
     def windows(self) -> list[int]:
-        """List the windows in which anything was counted, the oldest first."""
-        return sorted(self._counts_by_life)
+        """List the windows that have any counts, oldest first."""
+        return sorted(self._counts_by_window)
 
     def forget_before(self, window: int) -> None:
-        """Drop windows that are reported, or too old to be."""
-        for known in [known for known in self._counts_by_life if known < window]:
-            del self._counts_by_life[known]
+        """Drop windows that were reported or are too old to be reported."""
+        for old in [old for old in self._counts_by_window if old < window]:
+            del self._counts_by_window[old]
 
     def _counts(self, life: str, window: int) -> Counts:
-        return self._counts_by_life.setdefault(window, {}).setdefault(life, {})
+        return self._counts_by_window.setdefault(window, {}).setdefault(life, {})
 
 
-def changed_counts(told: Mapping[str, int], counts: Counts) -> Counts:
-    """List the totals that were not told yet."""
-    return {name: count for name, count in counts.items() if told.get(name) != count}
+def changed_counts(sent: Mapping[str, int], counts: Counts) -> Counts:
+    """Return the totals that differ from those sent last."""
+    return {name: count for name, count in counts.items() if sent.get(name) != count}
--- a/pimentolink/usagepublisher.py
+++ b/pimentolink/usagepublisher.py
@@ -1,4 +1,4 @@
-"""Tells the counts of this gateway to those that may report them."""
+"""Sends this gateway's usage counts to the gateways that may report them."""
 
 from __future__ import annotations
 
@@ -14,40 +14,42 @@
 from pimentolink.usage import (
     MAX_WINDOWS,
     Counts,
-    UsageBook,
+    UsageCounters,
     WindowTotals,
     changed_counts,
 )
 
-# Seconds between two tellings of counts that have changed: what a gateway that is
-# killed takes with it.
-TELL_INTERVAL = 0.2
-# Seconds between two tellings of all counts of open windows, in case one was lost.
-REPEAT_INTERVAL = 0.6
-# Gateways besides the leader that are told, in case it ends.
-DEPUTIES = 2
-# Bytes of the counts of one message, so that it fits into a datagram, and of one count
-# besides the organisation's name.
-MAX_BYTES = 1000
+# Seconds between two messages with changed counts. A gateway that is killed loses the
+# requests that it counted since the last one.
+PUBLISH_INTERVAL = 0.2
+# Seconds between two messages with all counts of open windows, which make up for lost
+# datagrams.
+FULL_PUBLISH_INTERVAL = 0.6
+# Gateways besides the leader that receive the counts, in case the leader fails.
+STANDBY_RECIPIENTS = 2
+# Maximum bytes of the counts in one message, so that it fits into a datagram, and the
+# bytes of one count in addition to the organisation's name.
+MAX_MESSAGE_BYTES = 1000
 COUNT_BYTES = 8
 
 
 class UsagePeers(Protocol):
-    """Sends messages to some gateways."""
+    """Sends messages to other gateways."""
 
     def broadcast(self, message: Message) -> None:
-        """Tell all gateways."""
+        """Send a message to all gateways."""
 
     def send_to(self, gateways: Iterable[str], messages: list[Message]) -> None:
-        """Tell some gateways, by name."""
+        """Send messages to the gateways with the given names."""
 
 
 class UsagePublisher:
     """
-    Counts here, and keeps the leader's and its deputies' counts up to date.
+    Counts the requests of this gateway and replicates the counts to the leader.
 
-    Load pattern: tens to hundreds of organisations, most with one or two requests in
-    a window, at gateways that may be killed at any moment.
+    A few other gateways receive them too, so that one of them can take over. Designed
+    for tens to hundreds of organisations, most of them with one or two requests per
+    window, and for gateways that may be killed at any moment.
     """
 
     def __init__(
@@ -60,13 +62,13 @@
         timers: Timers,
     ) -> None:
         """
-        Prepare; :meth:`start` begins.
+        Create a publisher; :meth:`start` activates it.
 
-        :param instance: this gateway's.
-        :param life: of this process.
-        :param window: seconds that are reported together.
-        :param peers: carry the counts.
-        :param clock: the time of day.
+        :param instance: name of this gateway's instance.
+        :param life: identity of this process.
+        :param window: length of a reporting window in seconds.
+        :param peers: sends the counts.
+        :param clock: time of day that the gateways agree on.
         :param timers: the timer service.
         """
         self._instance = instance
@@ -75,136 +77,136 @@
         self._peers = peers
         self._clock = clock
         self._timers = timers
-        self._told_by_window: dict[int, Counts] = {}
-        self._repeated_at = 0.0
-        self._open_from = 0
+        self._sent_by_window: dict[int, Counts] = {}
+        self._last_full_publish = 0.0
+        self._first_open = 0
         self._repeaters: list[Repeater] = []
-        self.book = UsageBook()
+        self.counters = UsageCounters()
         self.leader: Callable[[], str] = str
         self.gateways: Callable[[], Iterable[str]] = tuple
 
     def start(self) -> None:
-        """Tell from now on."""
-        self._tell_clock()
+        """Start sending counts and the time of the wall clock."""
+        self._broadcast_clock()
         self._repeaters = [
-            Repeater(self._timers, TELL_INTERVAL, self._turn),
-            Repeater(self._timers, CLOCK_INTERVAL, self._tell_clock),
+            Repeater(self._timers, PUBLISH_INTERVAL, self._publish_due),
+            Repeater(self._timers, CLOCK_INTERVAL, self._broadcast_clock),
         ]
 
     def stop(self) -> None:
-        """Tell all that is known here, also of other gateways, and nothing more."""
-        self._tell_open(self.book.all_totals(self.book.windows()))
+        """Send all known counts, including those of other gateways, and stop."""
+        self._publish(self.counters.all_totals(self.counters.windows()))
         for repeater in self._repeaters:
             repeater.cancel()
 
     def window_of(self, moment: float) -> int:
-        """Number the window of a time of day, in seconds since 1970."""
+        """Return the number of the window of a time, in seconds since 1970."""
         return int(moment // self._window)
 
-    def begun(self, organisation: str, began_at: float) -> None:
+    def request_started(self, organisation: str, started_at: float) -> None:
         """
-        Count a request that began to run.
+        Count a request that started to run.
 
-        :param began_at: seconds of the timer service.
+        :param started_at: when it started, in seconds of the timer service.
         """
-        moment = self._clock.now() - (self._timers.now() - began_at)
-        self.book.add(self._life, self.window_of(moment), organisation)
+        moment = self._clock.now() - (self._timers.now() - started_at)
+        self.counters.add(self._life, self.window_of(moment), organisation)
 
-    def take(self, life: str, message: ClockReport | UsageCounts) -> None:
+    def receive(self, life: str, message: ClockReport | UsageCounts) -> None:
         """
-        Learn from another gateway.
+        Handle a message from another gateway.
 
-        :param life: of the process that tells.
+        :param life: identity of the sending process.
         """
         if isinstance(message, ClockReport):
             self._clock.told(life, message.wall_ms / 1000)
             return
         newest = self.window_of(self._clock.now()) + 1
-        if max(self._open_from, newest - MAX_WINDOWS) <= message.window <= newest:
+        if max(self._first_open, newest - MAX_WINDOWS) <= message.window <= newest:
             totals = WindowTotals(message.life, message.window, message.counts)
-            self.book.take(totals)
+            self.counters.merge(totals)
 
-    def closed_before(self, window: int) -> None:
-        """Learn that the counts of earlier windows are settled."""
-        self._open_from = max(self._open_from, window)
-        self._forget()
+    def close_before(self, window: int) -> None:
+        """Accept no more counts of windows before the given one."""
+        self._first_open = max(self._first_open, window)
+        self._discard_settled()
 
-    def tell_leader(self) -> None:
-        """Tell a new leader all that is known here, also of other gateways."""
+    def send_to_leader(self) -> None:
+        """Send a new leader all known counts, including those of other gateways."""
         leader = self.leader()
         if not leader or leader == self._instance:
             return
-        known = self.book.all_totals(self.book.windows())
-        self._peers.send_to([leader], _messages(known))
+        known = self.counters.all_totals(self.counters.windows())
+        self._peers.send_to([leader], _to_messages(known))
 
-    def _turn(self) -> None:
-        self._forget()
+    def _publish_due(self) -> None:
+        self._discard_settled()
         now = self._timers.now()
-        if now - self._repeated_at >= REPEAT_INTERVAL:
-            self._repeated_at = now
-            self._tell_open(self._all_own())
+        if now - self._last_full_publish >= FULL_PUBLISH_INTERVAL:
+            self._last_full_publish = now
+            self._publish(self._own_totals())
             return
-        self._tell_open(
+        self._publish(
             item._replace(counts=changed)
-            for item in self._all_own()
-            if (changed := changed_counts(self._told(item.window), item.counts))
+            for item in self._own_totals()
+            if (changed := changed_counts(self._sent(item.window), item.counts))
         )
 
-    def _all_own(self) -> list[WindowTotals]:
-        known = self.book.all_totals(self.book.windows())
+    def _own_totals(self) -> list[WindowTotals]:
+        known = self.counters.all_totals(self.counters.windows())
         return [item for item in known if item.life == self._life]
 
-    def _told(self, window: int) -> Counts:
-        return self._told_by_window.setdefault(window, {})
+    def _sent(self, window: int) -> Counts:
+        return self._sent_by_window.setdefault(window, {})
 
-    def _tell_open(self, totals: Iterable[WindowTotals]) -> None:
-        told = list(totals)
-        for item in told:
+    def _publish(self, totals: Iterable[WindowTotals]) -> None:
+        sent = list(totals)
+        for item in sent:
             if item.life == self._life:
-                self._told(item.window).update(item.counts)
-        if told:
-            self._peers.send_to(self._listeners(), _messages(told))
+                self._sent(item.window).update(item.counts)
+        if sent:
+            self._peers.send_to(self._recipients(), _to_messages(sent))
 
-    def _listeners(self) -> list[str]:
-        """Choose the leader and some others, by their names, the same each time."""
+    def _recipients(self) -> list[str]:
+        """Choose the leader and some others; stable while the gateways are the same."""
         others = [name for name in self.gateways() if name != self._instance]
-        others.sort(key=lambda name: _distance(self._instance, name))
+        others.sort(key=lambda name: _rank(self._instance, name))
         leader = self.leader()
-        deputies = [name for name in others if name != leader][:DEPUTIES]
-        return deputies + ([leader] if leader in others else [])
+        standbys = [name for name in others if name != leader][:STANDBY_RECIPIENTS]
+        return standbys + ([leader] if leader in others else [])
 
-    def _forget(self) -> None:
+    def _discard_settled(self) -> None:
         newest = self.window_of(self._clock.now())
-        first = max(self._open_from, newest - MAX_WINDOWS)
-        self.book.forget_before(first)
-        for window in [window for window in self._told_by_window if window < first]:
-            del self._told_by_window[window]
+        first = max(self._first_open, newest - MAX_WINDOWS)
+        self.counters.forget_before(first)
+        for window in [window for window in self._sent_by_window if window < first]:
+            del self._sent_by_window[window]
 
-    def _tell_clock(self) -> None:
+    def _broadcast_clock(self) -> None:
         self._peers.broadcast(ClockReport(int(self._timers.wall_time() * 1000)))
 
 
-def _distance(gateway: str, other: str) -> int:
-    """Order other gateways differently for each."""
+def _rank(gateway: str, other: str) -> int:
+    """Rank another gateway by a hash, so that each gateway has its own order."""
     return int(xxhash.xxh3_64_intdigest(f"{gateway}|{other}".encode()))
 
 
-def _messages(totals: Iterable[WindowTotals]) -> list[Message]:
-    """Write totals as messages that each fit into a datagram."""
+def _to_messages(totals: Iterable[WindowTotals]) -> list[Message]:
+    """Encode totals as messages that each fit into a datagram."""
     return [
         UsageCounts(item.life, item.window, counts)
         for item in totals
-        for counts in _split(item.counts)
+        for counts in _split_counts(item.counts)
     ]
 
 
-def _split(counts: Counts) -> Iterator[Counts]:
-    """Divide counts by their size in a message."""
+def _split_counts(counts: Counts) -> Iterator[Counts]:
+    """Split counts into chunks that each fit into a message."""
     chunk: Counts = {}
     size = 0
     for name, count in counts.items():
         size += len(name.encode()) + COUNT_BYTES
-        if chunk and size > MAX_BYTES:
+        if chunk and size > MAX_MESSAGE_BYTES:
             yield chunk
             chunk, size = {}, len(name.encode()) + COUNT_BYTES
         chunk[name] = count
--- a/pimentolink/usagereporter.py
+++ b/pimentolink/usagereporter.py
@@ -1,4 +1,4 @@
-"""Reports each window's usage once, by the gateway that leads."""
+"""Reports the usage of each window from the gateway that leads."""
 
 from __future__ import annotations
 
@@ -20,26 +20,27 @@
 from pimentolink.usagepublisher import UsagePublisher
 
 USAGE_KEY = "pimentolink/usage"
-# Seconds between two looks at what is due.
-LOOK_INTERVAL = 0.25
-# Seconds after a window's end until its counts are committed, so that the last ones
-# have been told, also if one telling was lost.
+# Seconds between two checks for a report that is due.
+POLL_INTERVAL = 0.25
+# Seconds from a window's end until its counts are committed. The last counts have
+# arrived by then, even if one message was lost.
 SETTLE_TIME = 1.5
-# Seconds of the API's silence, while the store is reached, after which another gateway
-# is to lead; and for how long this one does not.
-SILENCE = 3.0
-STAND_BACK = 20.0
-# Seconds of the first pause after a report without an answer, and of the longest.
-PAUSE_FIRST = 0.3
-PAUSE_MOST = 1.5
+# Seconds without a response from the API, while the store is reachable, after which
+# this gateway steps down as leader, and seconds until it may lead again.
+API_SILENCE_LIMIT = 3.0
+STEP_DOWN_TIME = 20.0
+# Minimum and maximum delay in seconds before a failed report is retried.
+RETRY_DELAY_MIN = 0.3
+RETRY_DELAY_MAX = 1.5
 
 
 class UsageReport(msgspec.Struct, frozen=True):
     """
     The usage of one window, as it was committed.
 
-    :ivar counts: requests that began to run, by organisation.
-    :ivar epoch: of the store that it was committed in.
+    :ivar window: number of the window.
+    :ivar counts: requests that started to run, by organisation.
+    :ivar epoch: epoch of the store in which the report was committed.
     """
 
     window: int
@@ -48,7 +49,7 @@
 
 
 class UsageApi(Protocol):
-    """Takes usage reports; it gives nothing back."""
+    """Receives usage reports. Past reports cannot be queried from it."""
 
     def report(
         self, report: UsageReport, leader: str, fence: int
@@ -56,24 +57,24 @@
         """
         Report a window's usage.
 
-        :param leader: instance that reports.
+        :param leader: name of the reporting instance.
         :param fence: its fencing token.
-        :raises ReportRefused: if it was not taken, and may be sent again.
-        :raises Failure: without an answer; it may have been taken.
+        :raises ReportRefused: if the API refused the report; it may be sent again.
+        :raises Failure: without a response; the API may have accepted the report.
         """
 
 
-class _Step(enum.Enum):
-    """What came of one look."""
+class _StepResult(enum.Enum):
+    """Result of one step of the reporting loop."""
 
     IDLE = "idle"
     DONE = "done"
     FAILED = "failed"
 
 
-class _Committed(NamedTuple):
+class _CommittedReport(NamedTuple):
     """
-    The newest report that was committed.
+    The newest committed report.
 
     :ivar is_own: whether this gateway committed it.
     """
@@ -86,11 +87,11 @@
     """
     Commits each window's counts in the store, then reports them.
 
-    Guards that no window is reported with two different counts: what is sent was
-    committed before, under the condition that this gateway leads, and is sent again as
-    it was committed. What the store committed in an earlier epoch may be lost, so a
-    window that ended before this gateway saw the epoch is only reported if the report
-    is known here.
+    This ensures that no window is reported with two different counts: a report is sent
+    only after it was committed on the condition that this gateway leads, and retries
+    send it unchanged. A restore of the store starts a new epoch and may lose commits of
+    earlier ones. A window that ended before this gateway learned of the current epoch
+    is therefore reported only if its committed report is known here.
     """
 
     def __init__(
@@ -105,16 +106,16 @@
         log: Log,
     ) -> None:
         """
-        Prepare; :meth:`start` begins.
+        Create a reporter; :meth:`start` activates it.
 
-        :param settings: windows and patience.
-        :param leadership: tells whether this gateway leads.
+        :param settings: window length, reporting deadline and time-out.
+        :param leadership: leader election among the gateways.
         :param keyspace: the store.
-        :param api: takes reports.
-        :param publisher: knows the counts.
-        :param clock: the time of day.
+        :param api: receives the reports.
+        :param publisher: has the counts of all gateways.
+        :param clock: time of day that the gateways agree on.
         :param timers: the timer service.
-        :param log: where events go.
+        :param log: the event log.
         """
         self._settings = settings
         self._leadership = leadership
@@ -124,121 +125,126 @@
         self._clock = clock
         self._timers = timers
         self._log = log
-        # A report of the last leader ends within its time-out, or is given up.
-        self._wait = max(leadership.lease_time / 2, settings.timeout) + 2 * READ_AGE
-        self._committed: _Committed | None = None
+        # After this time every report of the previous leader has ended or timed out.
+        self._takeover_wait = (
+            max(leadership.lease_time / 2, settings.timeout) + 2 * READ_AGE
+        )
+        self._committed: _CommittedReport | None = None
         self._key_revision = 0
-        self._is_key_known = False
+        self._is_key_current = False
         self._epoch: int | None = None
-        self._reported = -1
-        self._first = 0
-        self._pause = PAUSE_FIRST
+        self._last_reported = -1
+        self._first_window = 0
+        self._retry_delay = RETRY_DELAY_MIN
         self._silent_since: float | None = None
         self._running: Deferred[None] | None = None
 
     def start(self) -> None:
-        """Report whenever this gateway leads."""
-        self._first = self._publisher.window_of(self._clock.now())
+        """Start reporting; reports are sent only while this gateway leads."""
+        self._first_window = self._publisher.window_of(self._clock.now())
         self._running = in_background(self._run())
 
     def stop(self) -> None:
-        """Report no more."""
+        """Stop reporting."""
         if self._running is not None:
             self._running.cancel()
 
     def key_changed(self, change: Change) -> None:
-        """Learn what was committed."""
+        """Apply a change of the key that holds the newest committed report."""
         self._learn_epoch(epoch_of(change.revision))
         if change.value is None:
             return
-        self._take(Item(change.key, change.value, change.revision))
+        self._apply_item(Item(change.key, change.value, change.revision))
 
     def _learn_epoch(self, epoch: int) -> None:
         if self._epoch is None or epoch > self._epoch:
-            # Reports that were committed just before may be missing from now on.
-            self._first = self._publisher.window_of(self._clock.now())
-            self._is_key_known = False
+            # The store may have been restored and have lost the last committed reports.
+            self._first_window = self._publisher.window_of(self._clock.now())
+            self._is_key_current = False
             self._epoch = epoch
 
-    def _take(self, item: Item) -> None:
+    def _apply_item(self, item: Item) -> None:
         report = read_entry(item.key, item.value, UsageReport, self._log)
         if report is None:
             return
         self._key_revision = item.revision
-        self._is_key_known = True
+        self._is_key_current = True
         if report.epoch == epoch_of(item.revision):
-            # All later windows are uncommitted: this one ended after the last restore.
-            self._first = min(self._first, report.window + 1)
+            # It was committed after the last restore, so no later window has been
+            # committed and lost.
+            self._first_window = min(self._first_window, report.window + 1)
         if self._committed is None or report.window >= self._committed.report.window:
-            is_known = self._committed is not None and self._committed.report == report
-            if not is_known:
-                self._committed = _Committed(report, is_own=False)
-        self._publisher.closed_before(report.window)
+            is_unchanged = (
+                self._committed is not None and self._committed.report == report
+            )
+            if not is_unchanged:
+                self._committed = _CommittedReport(report, is_own=False)
+        self._publisher.close_before(report.window)
 
     async def _run(self) -> None:
         while True:
-            step = _Step.IDLE
+            step = _StepResult.IDLE
             self._learn_epoch(self._keyspace.epoch)
-            if self._leadership.may_act(self._wait):
+            if self._leadership.may_act(self._takeover_wait):
                 step = await self._try_step()
-            if step is _Step.DONE:
-                self._pause = PAUSE_FIRST
+            if step is _StepResult.DONE:
+                self._retry_delay = RETRY_DELAY_MIN
                 continue
-            seconds = LOOK_INTERVAL
-            if step is _Step.FAILED:
-                seconds = self._pause
-                self._pause = min(PAUSE_MOST, 2 * self._pause)
+            seconds = POLL_INTERVAL
+            if step is _StepResult.FAILED:
+                seconds = self._retry_delay
+                self._retry_delay = min(RETRY_DELAY_MAX, 2 * self._retry_delay)
             await pause(self._timers, seconds)
 
-    async def _try_step(self) -> _Step:
+    async def _try_step(self) -> _StepResult:
         try:
             return await self._step()
         except LeaseLost as failure:
             self._leadership.lost(failure)
         except KeyValueUnavailable:
-            # A commitment may have been made though its answer was lost.
-            self._is_key_known = False
-        return _Step.FAILED
+            # The write may have been applied although its response was lost.
+            self._is_key_current = False
+        return _StepResult.FAILED
 
-    async def _step(self) -> _Step:
-        """Do what is due next: send what is committed, or commit the next window."""
-        if not self._is_key_known:
+    async def _step(self) -> _StepResult:
+        """Send the newest committed report if it is unsent, else commit a window."""
+        if not self._is_key_current:
             await self._read_key()
         committed = self._committed
-        if committed is not None and committed.report.window > self._reported:
+        if committed is not None and committed.report.window > self._last_reported:
             return await self._send(committed.report)
         return await self._commit_next()
 
     async def _read_key(self) -> None:
         found = await self._keyspace.read(USAGE_KEY)
-        self._is_key_known = True
+        self._is_key_current = True
         if found is None:
             self._key_revision = 0
             return
         self._learn_epoch(epoch_of(found.revision))
-        self._take(found)
+        self._apply_item(found)
 
-    async def _commit_next(self) -> _Step:
+    async def _commit_next(self) -> _StepResult:
         now = self._clock.now()
-        window = max(self._first, self._next_window())
+        window = max(self._first_window, self._next_window())
         oldest = self._publisher.window_of(now - self._settings.late)
         if window < oldest:
-            self._missed(window, oldest - 1, "their time has passed")
+            self._skip_windows(window, oldest - 1, "the deadline for reporting passed")
             window = oldest
-        if now < self._end_of(window) + SETTLE_TIME:
-            return _Step.IDLE
-        counts = self._publisher.book.totals(window)
+        if now < self._window_end(window) + SETTLE_TIME:
+            return _StepResult.IDLE
+        counts = self._publisher.counters.totals(window)
         report = UsageReport(window, counts, self._keyspace.epoch)
         guard = (LEADER_KEY, self._leadership.fence)
         value = msgspec.json.encode(report)
         write = Write(USAGE_KEY, value, self._key_revision, guard=guard)
         revision = await self._keyspace.write(write)
         if revision is None:
-            self._is_key_known = False
+            self._is_key_current = False
             await self._leadership.is_confirmed()
-            return _Step.FAILED
+            return _StepResult.FAILED
         self._key_revision = revision
-        self._committed = _Committed(report, is_own=True)
+        self._committed = _CommittedReport(report, is_own=True)
         self._log.write(
             LogEvent.USAGE_COMMITTED,
             window=window,
@@ -251,35 +257,37 @@
     def _next_window(self) -> int:
         committed = self._committed
         known = committed.report.window if committed is not None else -1
-        return max(known, self._reported) + 1
+        return max(known, self._last_reported) + 1
 
-    async def _send(self, report: UsageReport, is_confirmed: bool = False) -> _Step:
+    async def _send(
+        self, report: UsageReport, is_confirmed: bool = False
+    ) -> _StepResult:
         if self._is_late(report.window, self._clock.now()):
             self._give_up(report.window)
-            return _Step.DONE
+            return _StepResult.DONE
         if not is_confirmed and not await self._leadership.is_confirmed():
-            return _Step.FAILED
-        if not self._leadership.may_act(self._wait):
-            return _Step.FAILED
+            return _StepResult.FAILED
+        if not self._leadership.may_act(self._takeover_wait):
+            return _StepResult.FAILED
         fence = self._leadership.fence
-        sending = self._api.report(report, self._leadership.instance, fence)
+        request = self._api.report(report, self._leadership.instance, fence)
         try:
-            await with_timeout(self._timers, self._settings.timeout, sending)
+            await with_timeout(self._timers, self._settings.timeout, request)
         except (Failure, TimeoutError) as failure:
-            self._unanswered(report, failure)
-            return _Step.FAILED
+            self._report_failed(report, failure)
+            return _StepResult.FAILED
         self._silent_since = None
-        self._reported = max(self._reported, report.window)
-        late = self._clock.now() - self._end_of(report.window)
+        self._last_reported = max(self._last_reported, report.window)
+        delay = self._clock.now() - self._window_end(report.window)
         self._log.write(
             LogEvent.USAGE_REPORTED,
             window=report.window,
             fence=fence,
-            after_end=round(late, 3),
+            after_end=round(delay, 3),
         )
-        return _Step.DONE
+        return _StepResult.DONE
 
-    def _unanswered(self, report: UsageReport, failure: Exception) -> None:
+    def _report_failed(self, report: UsageReport, failure: Exception) -> None:
         now = self._timers.now()
         self._log.write(
             LogEvent.USAGE_UNREPORTED, window=report.window, detail=str(failure)
@@ -289,26 +297,28 @@
             return
         if self._silent_since is None:
             self._silent_since = now
-        elif now - self._silent_since >= SILENCE:
-            # Another gateway may reach what this one does not.
+        elif now - self._silent_since >= API_SILENCE_LIMIT:
+            # Another gateway may be able to reach the API.
             self._silent_since = None
-            self._leadership.stand_back(STAND_BACK)
+            self._leadership.stand_back(STEP_DOWN_TIME)
 
     def _give_up(self, window: int) -> None:
-        """Send a committed report no more."""
-        known = self._committed
-        if known is not None and known.is_own:
-            self._missed(window, window, "no report was answered in time")
+        """Stop sending a committed report whose deadline has passed."""
+        committed = self._committed
+        if committed is not None and committed.is_own:
+            self._skip_windows(
+                window, window, "the API confirmed no report before the deadline"
+            )
             return
-        # The leader that committed it may have had an answer.
-        self._reported = max(self._reported, window)
+        # The leader that committed it may have received a response.
+        self._last_reported = max(self._last_reported, window)
 
-    def _missed(self, first: int, last: int, reason: str) -> None:
-        self._reported = max(self._reported, last)
+    def _skip_windows(self, first: int, last: int, reason: str) -> None:
+        self._last_reported = max(self._last_reported, last)
         self._log.write(LogEvent.USAGE_MISSED, window=first, last=last, reason=reason)
 
-    def _end_of(self, window: int) -> float:
+    def _window_end(self, window: int) -> float:
         return (window + 1) * self._settings.window
 
     def _is_late(self, window: int, now: float) -> bool:
-        return now > self._end_of(window) + self._settings.late
+        return now > self._window_end(window) + self._settings.late
--- a/tests/test_loganalysis.py
+++ b/tests/test_loganalysis.py
@@ -1,4 +1,4 @@
-"""What gateways' logs tell of engines, prompts and predictions."""
+"""Analysis of gateways' logs: engines, prompts, predictions and outcomes."""
 
 import json
 import subprocess
@@ -14,35 +14,35 @@
 EVENTS = ("target_listed", "prompt_placed", "prompt_refused", "reading_ended")
 
 
-def line(at, event, **fields):
-    stamp = f"2026-01-01T00:00:{at:09.6f}Z"
-    return json.dumps({"event": event, "timestamp": stamp, **fields})
+def log_line(at, event, **fields):
+    timestamp = f"2026-01-01T00:00:{at:09.6f}Z"
+    return json.dumps({"event": event, "timestamp": timestamp, **fields})
 
 
-def placed(at, engine, **fields):
-    told = {"tokens": 600, "held": 300, "copied": 100, "waited": 0.02}
-    return line(at, "prompt_placed", target=engine, **{**told, **fields})
+def prompt_placed(at, engine, **fields):
+    defaults = {"tokens": 600, "held": 300, "copied": 100, "waited": 0.02}
+    return log_line(at, "prompt_placed", target=engine, **{**defaults, **fields})
 
 
-def ended(at, engine, took, predicted, role="reader", **fields):
-    told = {"good": True, "tokens": 600, "copied": 0, "busy": took}
-    told |= {"took": took, "predicted": predicted, "role": role, "target": engine}
-    return line(at, "reading_ended", **{**told, **fields})
+def reading_ended(at, engine, took, predicted, role="reader", **fields):
+    defaults = {"good": True, "tokens": 600, "copied": 0, "busy": took}
+    defaults |= {"took": took, "predicted": predicted, "role": role, "target": engine}
+    return log_line(at, "reading_ended", **{**defaults, **fields})
 
 
-def listed(engine, role="reader"):
-    return line(0, "target_listed", target=engine, role=role)
+def target_listed(engine, role="reader"):
+    return log_line(0, "target_listed", target=engine, role=role)
 
 
 class TestWindows:
     def test_what_happened_is_told_by_window(self):
         found = analyze(
             [
-                listed("a"),
-                placed(0.5, "a"),
-                ended(0.9, "a", 0.4, 0.4),
-                placed(2.5, "a", waited=0.1),
-                line(2.6, "prompt_refused"),
+                target_listed("a"),
+                prompt_placed(0.5, "a"),
+                reading_ended(0.9, "a", 0.4, 0.4),
+                prompt_placed(2.5, "a", waited=0.1),
+                log_line(2.6, "prompt_refused"),
             ],
             2.0,
         )
@@ -54,54 +54,64 @@
         assert second.waited == 0.1
 
     def test_refusals_beside_an_idle_engine_are_told_apart(self):
-        busy = [listed("a"), listed("b"), placed(0.1, "a"), placed(0.2, "b")]
-        refused = line(0.3, "prompt_refused")
-        idle = [ended(0.4, "b", 0.2, 0.2), line(0.5, "prompt_refused")]
+        busy = [
+            target_listed("a"),
+            target_listed("b"),
+            prompt_placed(0.1, "a"),
+            prompt_placed(0.2, "b"),
+        ]
+        refused = log_line(0.3, "prompt_refused")
+        idle = [reading_ended(0.4, "b", 0.2, 0.2), log_line(0.5, "prompt_refused")]
         (window,) = analyze([*busy, refused, *idle], 2.0).windows
         assert (window.refused, window.refused_idle) == (2, 1)
 
     def test_lines_of_several_gateways_are_put_in_order(self):
-        found = analyze([placed(2.5, "a"), placed(0.5, "a"), placed(4.5, "a")], 2.0)
+        found = analyze(
+            [prompt_placed(2.5, "a"), prompt_placed(0.5, "a"), prompt_placed(4.5, "a")],
+            2.0,
+        )
         assert [window.placed for window in found.windows] == [1, 1, 1]
 
 
 class TestPredictions:
     def test_ratios_are_told_by_role(self):
-        lines = [ended(n / 10, "a", 0.1 * n, 0.5) for n in range(1, 11)]
+        lines = [reading_ended(n / 10, "a", 0.1 * n, 0.5) for n in range(1, 11)]
         lines += [
-            ended(2, "w", 0.3, 0.1, role="writer"),
-            ended(3, "w", 1, 1, good=False),
+            reading_ended(2, "w", 0.3, 0.1, role="writer"),
+            reading_ended(3, "w", 1, 1, good=False),
         ]
-        reader, other, writer = analyze([*lines, ended(4, "x", 1, 1, "none")], 2.0)[3]
+        reader, other, writer = analyze(
+            [*lines, reading_ended(4, "x", 1, 1, "none")], 2.0
+        )[3]
         assert (reader.role, other.role, writer.role) == ("none", "reader", "writer")
         assert other.ratios == (0.4, 1.2, 2.0)
         assert other.tokens_per_second == round(6_000 / 5.5)
 
     def test_failed_readings_are_counted(self):
-        found = analyze([ended(1, "a", 1, 1, good=False, busy=None)], 2.0)
+        found = analyze([reading_ended(1, "a", 1, 1, good=False, busy=None)], 2.0)
         assert found.predictions[0].failed == 1
 
 
-def broke(at, target, fingerprint, **fields):
-    told = {"code": "connection_broken", "after": 0.1, "others": 3}
-    told |= {"target": target, "fingerprint": fingerprint}
-    return line(at, "attempt_failed", **{**told, **fields})
+def attempt_failed(at, target, fingerprint, **fields):
+    defaults = {"code": "connection_broken", "after": 0.1, "others": 3}
+    defaults |= {"target": target, "fingerprint": fingerprint}
+    return log_line(at, "attempt_failed", **{**defaults, **fields})
 
 
 class TestBrokenRequests:
     def test_request_that_breaks_off_at_several_targets_is_told(self):
         lines = [
-            broke(1, "a", "f1"),
-            broke(2, "b", "f1", code="reply_invalid", after=0.3),
-            broke(3, "b", "f1"),
-            broke(1, "a", "f2"),
-            broke(2, "a", "f2"),
+            attempt_failed(1, "a", "f1"),
+            attempt_failed(2, "b", "f1", code="reply_invalid", after=0.3),
+            attempt_failed(3, "b", "f1"),
+            attempt_failed(1, "a", "f2"),
+            attempt_failed(2, "a", "f2"),
         ]
         assert analyze(lines, 2.0).broken == [("f1", 2, 3, 0.1, 0.3)]
 
     def test_attempts_that_reached_no_target_are_none(self):
-        lines = [broke(1, "a", "f1"), broke(2, "b", "f1", after=None)]
-        lines.append(broke(3, "b", "f1", code="target_failed"))
+        lines = [attempt_failed(1, "a", "f1"), attempt_failed(2, "b", "f1", after=None)]
+        lines.append(attempt_failed(3, "b", "f1", code="target_failed"))
         assert analyze(lines, 2.0).broken == []
 
 
@@ -109,9 +119,9 @@
     def test_failures_are_told_by_route_and_code(self):
         found = analyze(
             [
-                line(0, "answered", route="r"),
-                line(1, "request_failed", route="r", code="timeout"),
-                line(2, "request_failed", route="q", code="no_target"),
+                log_line(0, "answered", route="r"),
+                log_line(1, "request_failed", route="r", code="timeout"),
+                log_line(2, "request_failed", route="q", code="no_target"),
             ],
             2.0,
         )
@@ -122,14 +132,17 @@
 
     def test_orders_are_told_with_what_they_rest_on(self):
         order = {"target": "a", "role": "writer", "streams": 90.0, "regret": 6.5}
-        (found,) = analyze([line(0, "order_done", **order)], 2.0).orders
+        (found,) = analyze([log_line(0, "order_done", **order)], 2.0).orders
         assert found == (0.0, "a", "writer", 90.0, 0.0, 6.5)
 
 
 class TestAnyLine:
     def test_words_before_a_line_are_passed_over(self):
         assert (
-            analyze(["12.5 gateway-1 " + placed(0.5, "a")], 2.0).windows[0].placed == 1
+            analyze(["12.5 gateway-1 " + prompt_placed(0.5, "a")], 2.0)
+            .windows[0]
+            .placed
+            == 1
         )
 
     @settings(max_examples=500, deadline=None)
@@ -139,7 +152,9 @@
         text=st.text(),
     )
     def test_whatever_a_log_holds_is_counted(self, event, fields, text):
-        found = analyze([text, line(0, event, **fields), placed(1, "a")], 2.0)
+        found = analyze(
+            [text, log_line(0, event, **fields), prompt_placed(1, "a")], 2.0
+        )
         assert found.lines == 3
         assert sum(window.placed for window in found.windows) >= 1
 
@@ -155,7 +170,7 @@
 
     def test_prints_tables_or_json(self, run, tmp_path):
         path = tmp_path / "gateway.log"
-        path.write_text("\n".join([listed("a"), placed(0.5, "a")]))
+        path.write_text("\n".join([target_listed("a"), prompt_placed(0.5, "a")]))
         assert "refused_idle" in run(str(path)).stdout
         assert json.loads(run(str(path), "--json").stdout)["lines"] == 2
 
--- a/tests/test_usagereporter.py
+++ b/tests/test_usagereporter.py
@@ -1,4 +1,4 @@
-"""Each window's usage is reported once, whatever happens to leader, store and API."""
+"""Usage is reported once per window, also when leader, store or API fails."""
 
 from collections import Counter
 from random import Random
@@ -22,14 +22,14 @@
 DELAY = 0.002
 
 
-class Api:
-    """Takes reports as they come, and keeps what it saw."""
+class FakeApi:
+    """Accepts reports and records them in order of arrival."""
 
     def __init__(self, timers):
         self.timers = timers
-        self.taken = []
+        self.received = []
         self.is_down = False
-        self.loses_answers = False
+        self.drops_responses = False
         self.refuses = False
         self.unreachable_from = set()
 
@@ -38,65 +38,65 @@
             raise NotConnected("no answer")
         if self.refuses:
             raise ReportRefused("status 429")
-        self.taken.append((self.timers.wall_time(), leader, fence, report))
-        if self.loses_answers:
+        self.received.append((self.timers.wall_time(), leader, fence, report))
+        if self.drops_responses:
             await Deferred()
 
 
-class Bus:
-    """Carries messages between gateways, late and with losses."""
+class FakeNetwork:
+    """Carries messages between gateways with delay and random loss."""
 
     def __init__(self, timers):
         self.timers = timers
         self.random = Random(1)
-        self.loss = 0.0
-        self.hearers = {}
+        self.loss_rate = 0.0
+        self.peers_by_name = {}
 
     def send(self, sender, name, message):
-        if self.random.random() >= self.loss:
+        if self.random.random() >= self.loss_rate:
             self.timers.call_later(DELAY, lambda: self._arrive(sender, name, message))
 
     def _arrive(self, sender, name, message):
-        if name in self.hearers:
-            self.hearers[name].on_usage(sender, message)
+        if name in self.peers_by_name:
+            self.peers_by_name[name].on_usage(sender, message)
 
 
-class Peers:
-    def __init__(self, bus, name, life):
-        self.bus, self.name, self.life = bus, name, life
+class FakePeers:
+    def __init__(self, network, name, life):
+        self.network, self.name, self.life = network, name, life
         self.on_usage = lambda life, message: None
-        bus.hearers[name] = self
+        network.peers_by_name[name] = self
 
     def broadcast(self, message):
-        self.send_to(list(self.bus.hearers), [message])
+        self.send_to(list(self.network.peers_by_name), [message])
 
     def send_to(self, names, messages):
         for name in names:
             if name != self.name:
                 for message in messages:
-                    self.bus.send(self.life, name, message)
+                    self.network.send(self.life, name, message)
 
 
-class Wall:
-    """The timers of one gateway, whose wall clock may be off."""
+class SkewedTimers:
+    """The timers of one gateway, whose wall clock may be wrong."""
 
     def __init__(self, timers):
         self._timers = timers
-        self.jump = 0.0
+        self.wall_offset = 0.0
 
     def __getattr__(self, name):
         return getattr(self._timers, name)
 
     def wall_time(self):
-        return self._timers.wall_time() + self.jump
+        return self._timers.wall_time() + self.wall_offset
 
 
 class Gateway:
-    """What counts and reports in one gateway."""
+    """The parts of a gateway that count and report usage."""
 
     def __init__(self, world, name, life):
         self.world, self.name = world, name
-        self.clock = Wall(world.timers)
+        self.clock = SkewedTimers(world.timers)
         settings = gateway_settings(instance=name)
         self.leadership = Leadership(
             settings, life, world.store, self.clock, Random(life), Log()
@@ -107,7 +107,7 @@
             self.leadership,
             world.store,
             world.api,
-            Peers(world.bus, name, life),
+            FakePeers(world.network, name, life),
             self.clock,
             Log(),
         )
@@ -128,21 +128,23 @@
             self.metering.key_changed(change)
 
     def _follow(self):
-        """Follow the store, and read all of it after anything was missed."""
+        """Watch the store, and read the keys again after the watch failed."""
         store = self.world.store
 
-        def told(found):
+        def on_changes(found):
             if not self.is_alive:
                 return
             for change in found.changes:
                 self._changed(change)
             self._follow()
 
-        def failed(_):
+        def on_failure(_):
             if self.is_alive:
                 self.world.timers.call_later(0.1, self._read_again)
 
-        store.changes("pimentolink/", store.revision, 3600.0).addCallbacks(told, failed)
+        store.changes("pimentolink/", store.revision, 3600.0).addCallbacks(
+            on_changes, on_failure
+        )
 
     def _read_again(self):
         if self.world.store.is_down:
@@ -155,13 +157,13 @@
         self._follow()
 
     def kill(self):
-        """End without a word."""
+        """Stop at once, without sending anything."""
         self.is_alive = False
         self.leadership._running.cancel()
         self.metering.reporter.stop()
         for repeater in self.metering.publisher._repeaters:
             repeater.cancel()
-        self.world.bus.hearers.pop(self.name, None)
+        self.world.network.peers_by_name.pop(self.name, None)
         self.world.gateways_by_name.pop(self.name, None)
 
     @property
@@ -170,74 +172,77 @@
 
 
 class World:
-    """Gateways that begin requests of many organisations, and what was really begun."""
+    """Gateways that run requests of many organisations, and the expected counts."""
 
     def __init__(self, gateways=4):
         self.timers = ManualTimers()
         self.random = Random(3)
         self.store = MemoryKeyspace(self.timers)
-        self.api = Api(self.timers)
-        self.bus = Bus(self.timers)
+        self.api = FakeApi(self.timers)
+        self.network = FakeNetwork(self.timers)
         self.gateways_by_name = {}
-        self.begun = {}
-        self.lives = 0
+        self.expected_by_window = {}
+        self.gateways_started = 0
         for number in range(gateways):
             self.start(f"g{number}")
 
     def start(self, name):
-        self.lives += 1
-        gateway = Gateway(self, name, f"life-{self.lives}")
+        self.gateways_started += 1
+        gateway = Gateway(self, name, f"life-{self.gateways_started}")
         self.gateways_by_name[name] = gateway
         return gateway
 
     def run(self, seconds, rate=40):
-        """Let requests begin for a while, most organisations with a few of them."""
+        """Start requests at a rate per second; most organisations get only a few."""
         for _ in range(int(seconds * rate)):
             self.timers.advance(1 / rate)
             gateway = self.random.choice(list(self.gateways_by_name.values()))
             number = int(72 * self.random.random() ** 3)
             name = f"organisation-{number}"
             window = int(self.timers.wall_time() // WINDOW)
-            self.begun.setdefault(window, Counter())[name] += 1
+            self.expected_by_window.setdefault(window, Counter())[name] += 1
             gateway.metering.begun(name, self.timers.now())
 
     def leader(self):
         found = [item for item in self.gateways_by_name.values() if item.leads]
         return found[0] if found else None
 
-    def reports(self):
-        """Check what must hold of all reports; return the counts by window."""
+    def check_reports(self):
+        """Check the invariants of all reports; return the counts by window."""
         counts_by_window = {}
-        fences = [fence for _, _, fence, _ in self.api.taken]
+        fences = [fence for _, _, fence, _ in self.api.received]
         assert fences == sorted(fences)
         leader_by_fence = {}
-        for _, leader, fence, report in self.api.taken:
+        for _, leader, fence, report in self.api.received:
             assert leader_by_fence.setdefault(fence, leader) == leader
             known = counts_by_window.setdefault(report.window, report.counts)
             assert known == report.counts
         return counts_by_window
 
-    def wrong(self):
-        """List the whole windows that were not reported in time, or not right."""
-        counts_by_window = self.reports()
+    def misreported_windows(self):
+        """List the due windows reported late, with wrong counts or not at all."""
+        counts_by_window = self.check_reports()
         in_time = {
             report.window
-            for at, _, _, report in self.api.taken
+            for at, _, _, report in self.api.received
             if at <= (report.window + 1) * WINDOW + LATE
         }
         now = self.timers.wall_time()
-        due = [item for item in self.begun if (item + 1) * WINDOW + LATE < now]
+        due = [
+            item for item in self.expected_by_window if (item + 1) * WINDOW + LATE < now
+        ]
         return [
             window
             for window in sorted(due)
-            if window not in in_time or counts_by_window[window] != self.begun[window]
+            if window not in in_time
+            or counts_by_window[window] != self.expected_by_window[window]
         ]
 
 
 @pytest.fixture
 def world():
     found = World()
-    # Off the windows' bounds, where a rounding error would decide.
+    # Keeps events off the windows' bounds, where rounding errors would affect the test.
     found.timers.advance(8.013)
     return found
 
@@ -245,8 +250,8 @@
 class TestCalm:
     def test_every_window_is_reported_once_and_right(self, world):
         world.run(120.0)
-        assert world.wrong() == []
-        windows = [report.window for _, _, _, report in world.api.taken]
+        assert world.misreported_windows() == []
+        windows = [report.window for _, _, _, report in world.api.received]
         assert windows == sorted(set(windows))
 
     def test_a_report_costs_one_write(self, world):
@@ -256,24 +261,24 @@
         assert world.store.revision - before == 60 / WINDOW
 
     def test_lost_datagrams_cost_nothing(self, world):
-        world.bus.loss = 0.2
+        world.network.loss_rate = 0.2
         world.run(120.0)
-        assert world.wrong() == []
+        assert world.misreported_windows() == []
 
     def test_clocks_that_jump_on_some_instances_cost_nothing(self, world):
         gateways = list(world.gateways_by_name.values())
         world.run(20.0)
-        gateways[0].clock.jump = 3.0
+        gateways[0].clock.wall_offset = 3.0
         world.run(20.0)
-        gateways[0].clock.jump = -2.0
+        gateways[0].clock.wall_offset = -2.0
         world.run(40.0)
-        assert world.wrong() == []
+        assert world.misreported_windows() == []
 
     def test_leader_whose_clock_jumps_reports_as_before(self, world):
         world.run(20.0)
-        world.leader().clock.jump = -4.0
+        world.leader().clock.wall_offset = -4.0
         world.run(40.0)
-        assert world.wrong() == []
+        assert world.misreported_windows() == []
 
 
 class TestLeader:
@@ -286,7 +291,7 @@
             world.run(12.0)
             world.start(name)
         world.run(20.0)
-        assert world.wrong() == []
+        assert world.misreported_windows() == []
 
     def test_killed_gateway_takes_at_most_a_fraction_of_a_second_with_it(self, world):
         world.run(21.0)
@@ -295,9 +300,9 @@
         )
         victim.kill()
         world.run(20.0)
-        reported = world.reports()
-        for window in world.wrong():
-            lost = world.begun[window] - Counter(reported[window])
+        reported = world.check_reports()
+        for window in world.misreported_windows():
+            lost = world.expected_by_window[window] - Counter(reported[window])
             assert sum(lost.values()) <= 0.3 * 40 / 4
 
     def test_leader_and_a_gateway_killed_at_once(self, world):
@@ -307,7 +312,7 @@
         world.leader().kill()
         others[0].kill()
         world.run(40.0)
-        assert world.wrong() == []
+        assert world.misreported_windows() == []
 
     def test_leader_that_is_cut_off_from_the_api_hands_over(self, world):
         world.run(21.0)
@@ -315,7 +320,7 @@
         world.api.unreachable_from = {leader.name}
         world.run(40.0)
         assert world.leader() is not leader
-        assert len(world.wrong()) <= 1
+        assert len(world.misreported_windows()) <= 1
 
     def test_leader_that_wakes_late_sends_nothing_old(self, world):
         world.run(22.0)
@@ -323,27 +328,27 @@
         lease = leader.leadership.lease
         world.store.lapse(lease)
         world.run(40.0)
-        world.reports()
-        assert world.wrong() == []
+        world.check_reports()
+        assert world.misreported_windows() == []
 
 
 class TestApi:
     def test_report_without_an_answer_is_sent_again_as_it_was(self, world):
         world.run(12.0)
-        world.api.loses_answers = True
+        world.api.drops_responses = True
         world.run(7.0)
-        world.api.loses_answers = False
+        world.api.drops_responses = False
         world.run(30.0)
-        assert world.wrong() == []
+        assert world.misreported_windows() == []
 
     def test_successor_sends_what_its_predecessor_committed(self, world):
         world.run(12.0)
-        world.api.loses_answers = True
+        world.api.drops_responses = True
         world.run(5.0)
         world.leader().kill()
-        world.api.loses_answers = False
+        world.api.drops_responses = False
         world.run(30.0)
-        world.reports()
+        world.check_reports()
 
     def test_what_was_missed_follows_in_order(self, world):
         world.run(11.0)
@@ -351,14 +356,14 @@
         world.run(8.0)
         world.api.is_down = False
         world.run(30.0)
-        windows = [report.window for _, _, _, report in world.api.taken]
+        windows = [report.window for _, _, _, report in world.api.received]
         assert windows == sorted(windows)
-        assert len(world.wrong()) <= 1
+        assert len(world.misreported_windows()) <= 1
 
     def test_calls_are_few_while_the_api_refuses(self, world):
         calls = []
         report = world.api.report
-        world.api.report = lambda *told: calls.append(told) or report(*told)
+        world.api.report = lambda *args: calls.append(args) or report(*args)
         world.api.refuses = True
         world.run(60.0)
         assert len(calls) <= 60 / 0.8
@@ -371,7 +376,7 @@
             world.store.answers_to_lose = 1
             world.run(WINDOW)
         world.run(20.0)
-        assert world.wrong() == []
+        assert world.misreported_windows() == []
 
     def test_outage_delays_reports_only(self, world):
         world.run(11.0)
@@ -379,13 +384,13 @@
         world.run(4.0)
         world.store.set_down(False)
         world.run(30.0)
-        assert len(world.wrong()) <= 1
+        assert len(world.misreported_windows()) <= 1
 
     def test_leader_whose_lease_was_paused_goes_on_at_once(self, world):
         """
-        The store fell silent for 8 s, just as a window ended, and paused all leases.
-        The leader had given its lease up, so that its key stood in the way of any
-        other until it ran out, and two windows were not reported in time.
+        The store did not respond for 8 s from the end of a window, and paused all
+        leases. If the leader gives up its lease then, its key keeps other gateways from
+        leading until the lease expires, and two windows are not reported in time.
         """
         world.run(11.97)
         leader = world.leader()
@@ -394,7 +399,7 @@
         world.store.set_down(False)
         world.run(20.0)
         assert world.leader() is leader
-        assert world.wrong() == []
+        assert world.misreported_windows() == []
 
     @pytest.mark.parametrize("age", [0.5, 2.0, 6.0, 11.0])
     def test_no_window_is_reported_twice_after_a_restore(self, world, age):
@@ -406,8 +411,8 @@
         world.store.set_down(False)
         world.store.restore(copy)
         world.run(40.0)
-        world.reports()
-        assert len(world.wrong()) <= 2
+        world.check_reports()
+        assert len(world.misreported_windows()) <= 2
 
     def test_leader_killed_with_the_restore(self, world):
         for age in (1.0, 3.0, 5.0):
@@ -419,7 +424,7 @@
             world.store.restore(copy)
             world.run(30.0)
             world.start(name)
-        world.reports()
+        world.check_reports()
 
 
 class TestGatewayThatStarts:
@@ -431,18 +436,18 @@
         capfd.readouterr()
         for number in range(4):
             world.start(f"g{number}")._read_again()
-        begun = len(world.api.taken)
+        earlier = len(world.api.received)
         world.run(30.0)
-        windows = [report.window for _, _, _, report in world.api.taken[begun:]]
+        windows = [report.window for _, _, _, report in world.api.received[earlier:]]
         assert windows == list(range(windows[0], windows[0] + len(windows)))
         assert len(windows) >= 5
         assert "".join(capfd.readouterr()).count("usage_missed") == 1
 
     def test_it_reports_windows_that_ended_before_when_it_leads(self, world):
         """
-        Gateways were restarted one after the other. One that had just started took
-        over from the leader, and left out the windows that had ended before its start,
-        though the others still had all counts of them.
+        In a rolling restart, a gateway that had just started took over from the leader.
+        It skipped the windows that had ended before its start, although the other
+        gateways still had all counts of them.
         """
         world.run(23.5)
         for name in ("g0", "g1", "g2", "g3"):
@@ -453,11 +458,11 @@
                 gateway.kill()
                 world.start(name)
                 world.run(0.2)
-        # What was counted in the last fraction of a second goes with a killed gateway.
+        # A killed gateway loses the counts of its last fraction of a second.
         world.timers.advance(0.3)
         world.leader().kill()
         world.run(30.0)
-        assert world.wrong() == []
+        assert world.misreported_windows() == []
 
     def test_it_reports_no_window_that_ended_before(self, world):
         world.run(31.0)
@@ -470,7 +475,7 @@
         for number in range(4):
             world.start(f"g{number}")
         world.run(30.0)
-        world.reports()
+        world.check_reports()
 
 
 def test_store_that_is_away_raises_nothing(world):
