--- a/pimentolink/attempt.py
+++ b/pimentolink/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a target between its submission and its end."""
+"""The state of one attempt to serve a request at a target."""
 
 from __future__ import annotations
 
@@ -14,24 +14,36 @@
 
 
 class AttemptKey(NamedTuple):
-    """Names an attempt among those of all links."""
+    """
+    Identifies an attempt across all links.
+
+    :ivar link: ``id()`` of the link object.
+    :ivar attempt_id: chosen by the entry, unique on its link.
+    """
 
     link: int
     attempt_id: int
 
 
 class Attempt:
-    """One attempt between submission and its end."""
+    """
+    One attempt, from its submission until its ``Finish`` is sent.
+
+    :ivar offset: index of the next token of the response; tokens that the caller
+        already has count.
+    :ivar running: the call to the target, once it was started; ``None`` for an attempt
+        under a claim.
+    """
 
     def __init__(
         self, key: AttemptKey, link: SidecarLink, submit: link_pb2.Submit
     ) -> None:
         """
-        Begin.
+        Create an attempt that has not been queued.
 
-        :param key: names it.
-        :param link: whose it is.
-        :param submit: what to do.
+        :param key: its identifier.
+        :param link: the link it was received on.
+        :param submit: the message that describes it.
         """
         self.key = key
         self.link = link
--- a/pimentolink/claimedcalls.py
+++ b/pimentolink/claimedcalls.py
@@ -1,4 +1,4 @@
-"""Calls under a claim: made at most once, and shared by all who ask for them."""
+"""Calls under a claim, made at most once and shared by all attempts of a key."""
 
 from __future__ import annotations
 
@@ -22,7 +22,12 @@
 
 
 class _ClaimedCall:
-    """A call under a claim, with every attempt that asks for it."""
+    """
+    A call under a claim, with the attempts that wait for it.
+
+    :ivar key: digest of the call's idempotency key.
+    :ivar fingerprint: digest of the call itself.
+    """
 
     def __init__(self, key: str, fingerprint: str, partition: ClaimPartition) -> None:
         self.key = key
@@ -32,7 +37,7 @@
 
 
 class ClaimSource:
-    """Finds the partition that commits a claim."""
+    """Finds the partition that a claim belongs to; opens each partition once."""
 
     def __init__(
         self,
@@ -40,57 +45,58 @@
         partitions_of: Callable[[str], int],
     ) -> None:
         """
-        Prepare.
+        Create a source without open partitions.
 
-        :param open_partition: makes the partition of a service with a number.
-        :param partitions_of: tells how many partitions a service has.
+        :param open_partition: opens a partition, given its service and number.
+        :param partitions_of: returns the number of partitions of a service.
         """
-        self._open = open_partition
+        self._open_partition = open_partition
         self._partitions_of = partitions_of
-        self._partition_by_place: dict[tuple[str, int], ClaimPartition] = {}
+        self._partition_by_id: dict[tuple[str, int], ClaimPartition] = {}
 
     def find(self, service: str, key: str) -> ClaimPartition:
         """
-        Find a claim's partition.
+        Return the partition of a claim.
 
         :param service: the service's name.
-        :param key: digest of the call's key.
+        :param key: digest of the call's idempotency key.
         """
-        place = (service, partition_of(key, self._partitions_of(service)))
-        if place not in self._partition_by_place:
-            self._partition_by_place[place] = self._open(*place)
-        return self._partition_by_place[place]
+        partition_id = (service, partition_of(key, self._partitions_of(service)))
+        if partition_id not in self._partition_by_id:
+            self._partition_by_id[partition_id] = self._open_partition(*partition_id)
+        return self._partition_by_id[partition_id]
 
 
 class ClaimedCalls:
     """
-    Calls under a claim at one target.
+    The calls under a claim at one target.
 
-    Guards that a call is made only once its claim is stored, that whoever asks for it
-    meanwhile gets the same answer, and that it goes on to its end though nobody waits
-    for it any more.
+    A call is made only after its claim was stored. Attempts with the same key that
+    arrive while it runs get the same response. Once started, it runs to completion
+    even if no attempt waits for it any more.
     """
 
     def __init__(
         self,
         claims: ClaimSource,
-        answers_kept: int,
-        make: Callable[[Attempt, ClaimedListener], object],
+        max_kept_answers: int,
+        start_call: Callable[[Attempt, ClaimedListener], object],
         finish: Callable[[Attempt, link_pb2.Finish], None],
         is_target_lost: Callable[[], bool],
     ) -> None:
         """
-        Start empty.
+        Start without any calls.
 
         :param claims: finds the partition of a claim.
-        :param answers_kept: answers kept for callers that ask again.
-        :param make: makes the call of an attempt at the target.
-        :param finish: ends an attempt.
-        :param is_target_lost: tells whether the target no longer answers.
+        :param max_kept_answers: number of answers kept for callers that repeat a
+            request.
+        :param start_call: starts the call of an attempt at the target.
+        :param finish: finishes an attempt.
+        :param is_target_lost: returns whether the target has stopped responding.
         """
         self._claims = claims
-        self._answers_kept = answers_kept
-        self._make = make
+        self._max_kept_answers = max_kept_answers
+        self._start_call = start_call
         self._finish = finish
         self._is_target_lost = is_target_lost
         self._call_by_key: dict[str, _ClaimedCall] = {}
@@ -98,22 +104,25 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether no call is under way."""
+        """Whether no call is in progress."""
         return not self._call_by_key
 
     def join(self, attempt: Attempt) -> bool:
         """
-        Attach an attempt to the call under its key, if there is or was one.
+        Join an attempt to the call with the same key.
+
+        If that call has completed and its answer is still kept, the attempt is
+        finished with it. If the key was used for a different call, it is refused.
 
-        :param attempt: with an idempotency key.
-        :returns: whether it was attached, answered or refused.
+        :param attempt: one with an idempotency key.
+        :returns: whether it was joined or finished; if not, the caller may start it.
         """
-        key, fingerprint = _digests_of(attempt.submit)
+        key, fingerprint = _compute_digests(attempt.submit)
         call = self._call_by_key.get(key)
         if call is None and key not in self._answers_by_key:
             return False
-        known = call.fingerprint if call else self._answers_by_key[key][0]
-        if known != fingerprint:
+        known_fingerprint = call.fingerprint if call else self._answers_by_key[key][0]
+        if known_fingerprint != fingerprint:
             failure = IdempotencyKeyReused("the key stands for another call")
             self._finish(attempt, finish_of(failure))
         elif call is not None:
@@ -127,81 +136,88 @@
         """
         Claim the key of an attempt, then make its call.
 
-        :param attempt: with an idempotency key that no call here has.
+        :param attempt: one with an idempotency key that no call of this object uses.
         """
-        key, fingerprint = _digests_of(attempt.submit)
+        key, fingerprint = _compute_digests(attempt.submit)
         partition = self._claims.find(attempt.submit.service, key)
         call = _ClaimedCall(key, fingerprint, partition)
         call.attempts.append(attempt)
         self._call_by_key[key] = call
         granted = partition.claim(key, fingerprint)
-        granted.addCallback(lambda outcome: self._decided(call, outcome))
+        granted.addCallback(lambda outcome: self._claim_decided(call, outcome))
 
     def abandon(self, attempt: Attempt) -> None:
-        """Let an attempt wait no more; its call goes on."""
+        """Detach a cancelled attempt from its call, which continues."""
         for call in self._call_by_key.values():
             if attempt in call.attempts:
                 call.attempts.remove(attempt)
 
-    def has(self, attempt: Attempt) -> bool:
-        """Tell whether an attempt waits for a call under a claim."""
+    def contains(self, attempt: Attempt) -> bool:
+        """Return whether an attempt waits for a call under a claim."""
         return any(attempt in call.attempts for call in self._call_by_key.values())
 
     def finished(self, call: _ClaimedCall, answer: Answer) -> None:
-        """Record a whole answer and pass it on."""
+        """Store a complete response and finish the waiting attempts with it."""
         call.partition.settle(call.key, ClaimState.DONE)
         self._answers_by_key[call.key] = (call.fingerprint, answer)
-        if len(self._answers_by_key) > self._answers_kept:
+        if len(self._answers_by_key) > self._max_kept_answers:
             self._answers_by_key.popitem(last=False)
-        self._end(call, finish_of_answer(answer))
+        self._finish_attempts(call, finish_of_answer(answer))
 
     def failed(self, call: _ClaimedCall, failure: Failure) -> None:
-        """Record a failure and pass it on."""
+        """
+        Handle a failed call.
+
+        If the call certainly did not run, its key is released before the waiting
+        attempts fail, so that it can be used again. Otherwise the outcome is unknown.
+        """
         if not failure.ran:
-            self._give_back(call, failure)
+            self._release_claim(call, failure)
             return
         call.partition.settle(call.key, ClaimState.UNKNOWN)
-        self._end(call, finish_of(OutcomeUnknown(str(failure))))
+        self._finish_attempts(call, finish_of(OutcomeUnknown(str(failure))))
 
-    def _decided(self, call: _ClaimedCall, outcome: Result[None, Failure]) -> None:
+    def _claim_decided(
+        self, call: _ClaimedCall, outcome: Result[None, Failure]
+    ) -> None:
         if isinstance(outcome, Err):
-            self._end(call, finish_of(outcome.err_value))
+            self._finish_attempts(call, finish_of(outcome.err_value))
         elif not call.attempts or self._is_target_lost():
-            self._give_back(call, NotRun("nobody waits, or no target answers"))
+            self._release_claim(call, NotRun("nobody waits, or no target answers"))
         else:
-            self._make(call.attempts[0], ClaimedListener(self, call))
+            self._start_call(call.attempts[0], ClaimedListener(self, call))
 
-    def _give_back(self, call: _ClaimedCall, failure: Failure) -> None:
+    def _release_claim(self, call: _ClaimedCall, failure: Failure) -> None:
         stored = call.partition.release(call.key)
-        stored.addCallback(lambda _: self._end(call, finish_of(failure)))
+        stored.addCallback(lambda _: self._finish_attempts(call, finish_of(failure)))
 
-    def _end(self, call: _ClaimedCall, finish: link_pb2.Finish) -> None:
+    def _finish_attempts(self, call: _ClaimedCall, finish: link_pb2.Finish) -> None:
         del self._call_by_key[call.key]
         for attempt in list(call.attempts):
             self._finish(attempt, finish)
 
 
 class ClaimedListener:
-    """Ties a call under a claim to all attempts that wait for it."""
+    """Forwards the events of a call under a claim to all attempts waiting for it."""
 
     def __init__(self, calls: ClaimedCalls, call: _ClaimedCall) -> None:
-        """Listen for ``call``, on behalf of ``calls``."""
+        """Create the listener of ``call``, which belongs to ``calls``."""
         self._calls = calls
         self._call = call
 
     def tokens(self, tokens: list[str]) -> None:
-        """Take nothing: plain services send no tokens."""
+        """Ignore tokens: plain services send none."""
 
     def finished(self, answer: Answer, finish_reason: str) -> None:
-        """Take the end of a whole answer."""
+        """Receive a complete response."""
         self._calls.finished(self._call, answer)
 
     def failed(self, failure: Failure) -> None:
-        """Take a failure."""
+        """Receive a failure."""
         self._calls.failed(self._call, failure)
 
 
-def _digests_of(submit: link_pb2.Submit) -> tuple[str, str]:
+def _compute_digests(submit: link_pb2.Submit) -> tuple[str, str]:
     caller = next((h.value for h in submit.headers if h.name == CALLER_HEADER), "")
     key = call_digest(caller, submit.service, submit.idempotency_key)
     return key, call_digest(submit.method, submit.path, submit.body)
--- a/pimentolink/claims.py
+++ b/pimentolink/claims.py
@@ -1,4 +1,8 @@
-"""Commits claims: a call that may not be repeated is claimed before it is made."""
+"""
+Commits claims to the key-value store.
+
+A call that may not be repeated is claimed before it is made.
+"""
 
 from __future__ import annotations
 
@@ -19,12 +23,12 @@
 from pimentolink.settings import ClaimSettings
 from pimentolink.timers import Timers, pause
 
-TAKE_OVER_TRIES = 3
-READ_BACK_PAUSE = 0.2
+TAKE_OVER_ATTEMPTS = 3
+READ_BACK_DELAY = 0.2
 
 
-class _Pending(NamedTuple):
-    """A claim waiting to be committed."""
+class _PendingClaim(NamedTuple):
+    """A claim in the table, whose write is not confirmed yet."""
 
     key: str
     granted: Deferred[Result[None, Failure]]
@@ -32,12 +36,14 @@
 
 class ClaimPartition:
     """
-    One partition as one sidecar commits it.
+    One partition of the claims of a service, as written by one sidecar.
 
     Only the sidecar that the stored document names as owner adds claims, by
-    compare-and-swap; taking over is itself a compare-and-swap, so that the write of
-    an owner that was replaced fails and the call behind it is not made. Claims that
-    arrive while a write is under way share the next one.
+    compare-and-swap. Taking over ownership is a compare-and-swap as well, so the next
+    write of the previous owner fails and its call is not made. Claims that arrive
+    during a write are batched into the next one.
+
+    :ivar is_owned: whether the last write succeeded, which made this sidecar the owner.
     """
 
     def __init__(
@@ -49,13 +55,13 @@
         settings: ClaimSettings,
     ) -> None:
         """
-        Prepare; the partition is not owned yet.
+        Create a partition that this sidecar does not own yet.
 
-        :param path: the document's key in the key-value service.
-        :param incarnation: identity of this process's life.
-        :param store: the key-value service.
+        :param path: key of the document in the key-value store.
+        :param incarnation: identifier of this run of the process.
+        :param store: the key-value store.
         :param timers: the timer service.
-        :param settings: bounds and intervals.
+        :param settings: limits and intervals.
         """
         self._path = path
         self._incarnation = incarnation
@@ -65,53 +71,54 @@
         self._table = ClaimTable(settings, incarnation)
         self._waiting: list[tuple[str, str, Deferred[Result[None, Failure]]]] = []
         self._revision = 0
-        self._write = 0
+        self._write_number = 0
         self._is_dirty = False
-        self._is_busy = False
+        self._is_writing = False
         self.is_owned = False
 
     def claim(self, key: str, fingerprint: str) -> Deferred[Result[None, Failure]]:
         """
         Claim a key for this sidecar.
 
-        :param key: digest of the call's key.
+        :param key: digest of the call's idempotency key.
         :param fingerprint: digest of the call.
-        :returns: granted, so that the call may be made once; or why not. A
-            ``NotRun`` leaves the key free.
+        :returns: fires with ``Ok`` once the claim is stored and the call may be made,
+            or with the reason why it may not. After ``NotRun`` the key is free.
         """
         granted: Deferred[Result[None, Failure]] = Deferred()
         self._waiting.append((key, fingerprint, granted))
-        self._start()
+        self._start_writing()
         return granted
 
     def settle(self, key: str, state: ClaimState) -> None:
-        """Record what became of the call; stored with the next write."""
+        """Record the outcome of a call; it is stored with the next write."""
         self._table.settle(key, state)
         self._mark_dirty()
 
     def release(self, key: str) -> Deferred[Result[None, Failure]]:
         """
-        Free the key of a call that is known not to have been made.
+        Release the key of a call that certainly was not made.
 
-        :param key: digest of the call's key.
-        :returns: once stored, or why it could not be.
+        :param key: digest of the call's idempotency key.
+        :returns: fires once the release is stored, or with the reason why it could
+            not be stored.
         """
         self._table.release(key)
         return Deferred.fromCoroutine(self._store_release())
 
     async def _store_release(self) -> Result[None, Failure]:
-        while self._is_busy:
+        while self._is_writing:
             await pause(self._timers, self._settings.commit_interval)
         if not self.is_owned:
             return Err(ClaimContended("the partition was taken over"))
-        self._is_busy = True
+        self._is_writing = True
         try:
             is_stored = await self._commit()
         except KeyValueUnavailable as error:
             return Err(error)
         finally:
-            self._is_busy = False
-            self._start()
+            self._is_writing = False
+            self._start_writing()
         if not is_stored:
             return Err(ClaimContended("the partition was taken over"))
         return Ok(None)
@@ -119,22 +126,22 @@
     def _mark_dirty(self) -> None:
         if not self._is_dirty:
             self._is_dirty = True
-            self._timers.call_later(1.0, self._start)
+            self._timers.call_later(1.0, self._start_writing)
 
-    def _start(self) -> None:
-        if not self._is_busy and (self._waiting or self._is_dirty):
-            self._is_busy = True
-            Deferred.fromCoroutine(self._work())
+    def _start_writing(self) -> None:
+        if not self._is_writing and (self._waiting or self._is_dirty):
+            self._is_writing = True
+            Deferred.fromCoroutine(self._write_loop())
 
-    async def _work(self) -> None:
+    async def _write_loop(self) -> None:
         try:
             while self._waiting or (self._is_dirty and self.is_owned):
-                await self._turn()
+                await self._process_batch()
                 await pause(self._timers, self._settings.commit_interval)
         finally:
-            self._is_busy = False
+            self._is_writing = False
 
-    async def _turn(self) -> None:
+    async def _process_batch(self) -> None:
         if not self.is_owned:
             try:
                 await self._take_over()
@@ -154,7 +161,7 @@
         for _, _, granted in waiting:
             granted.callback(Err(failure))
 
-    def _admit_waiting(self) -> list[_Pending]:
+    def _admit_waiting(self) -> list[_PendingClaim]:
         waiting, self._waiting = self._waiting, []
         pending = []
         for key, fingerprint, granted in waiting:
@@ -162,10 +169,10 @@
             if isinstance(admitted, Err):
                 granted.callback(admitted)
             else:
-                pending.append(_Pending(key, granted))
+                pending.append(_PendingClaim(key, granted))
         return pending
 
-    async def _commit_pending(self, pending: list[_Pending]) -> None:
+    async def _commit_pending(self, pending: list[_PendingClaim]) -> None:
         outcome: Result[None, Failure]
         try:
             if await self._commit():
@@ -175,7 +182,7 @@
         except KeyValueUnavailable as error:
             outcome = Err(ClaimUnavailable(str(error), retry_after=1.0))
         if isinstance(outcome, Err):
-            # None of these calls is made, so their keys are free again here.
+            # None of these calls will be made, so their keys are released.
             for item in pending:
                 self._table.release(item.key)
             self._is_dirty = True
@@ -183,11 +190,11 @@
             item.granted.callback(outcome)
 
     async def _take_over(self) -> None:
-        for _ in range(TAKE_OVER_TRIES):
+        for _ in range(TAKE_OVER_ATTEMPTS):
             stored = await self._store.get(self._path)
             claims: dict[str, Claim] = {}
             if stored.data is not None:
-                claims = _decode(stored.data).claims_by_key
+                claims = _decode_document(stored.data).claims_by_key
             self._table.load(claims)
             self._revision = stored.revision
             if await self._commit():
@@ -195,16 +202,19 @@
 
     async def _commit(self) -> bool:
         """
-        Store the table.
+        Write the table to the store.
 
-        :returns: whether it was stored, which makes or keeps this sidecar the owner.
-        :raises KeyValueUnavailable: if that cannot be told.
+        If the store does not answer, the document is read back to find out whether
+        the write was applied.
+
+        :returns: whether it was stored, in which case this sidecar is the owner.
+        :raises KeyValueUnavailable: if the result of the write is unknown.
         """
-        self._write += 1
+        self._write_number += 1
         self._is_dirty = False
         claims = dict(self._table.claims_by_key)
         data = msgspec.json.encode(
-            ClaimDocument(self._incarnation, self._write, claims)
+            ClaimDocument(self._incarnation, self._write_number, claims)
         )
         self.is_owned = False
         try:
@@ -220,14 +230,17 @@
         return True
 
     async def _find_own_write(self) -> int | None:
-        await pause(self._timers, READ_BACK_PAUSE)
+        await pause(self._timers, READ_BACK_DELAY)
         stored = await self._store.get(self._path)
         if stored.data is None:
             return None
-        document = _decode(stored.data)
-        is_own = (document.owner, document.write) == (self._incarnation, self._write)
+        document = _decode_document(stored.data)
+        is_own = (document.owner, document.write) == (
+            self._incarnation,
+            self._write_number,
+        )
         return stored.revision if is_own else None
 
 
-def _decode(data: bytes) -> ClaimDocument:
+def _decode_document(data: bytes) -> ClaimDocument:
     return msgspec.json.decode(data, type=ClaimDocument)
--- a/pimentolink/claimtable.py
+++ b/pimentolink/claimtable.py
@@ -1,4 +1,4 @@
-"""The claims of one partition: who may make which call, and what became of it."""
+"""The claims of one partition, with the known outcome of each call."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 def call_digest(*parts: str | bytes) -> str:
     """
-    Digest what identifies a call.
+    Compute the digest of a call or of its idempotency key.
 
     :param parts: caller, service and key; or method, path and body.
     :returns: 32 hexadecimal digits.
@@ -37,21 +37,22 @@
 
 def partition_of(key: str, partitions: int) -> int:
     """
-    Find the partition that a claim belongs to.
+    Compute the number of the partition that a claim belongs to.
 
-    :param key: digest of the call's key.
-    :param partitions: how many the service has.
+    :param key: digest of the call's idempotency key.
+    :param partitions: number of partitions of the service.
     :returns: 0 to ``partitions`` - 1.
     """
     return xxhash.xxh3_64_intdigest(key.encode()) % partitions
 
 
-# Enough of an incarnation to tell claims apart, in a value that is written often.
-IDENTITY_DIGITS = 12
+# Claims carry only this many leading digits of the incarnation: enough to distinguish
+# them, and short, since the document is written often.
+INCARNATION_PREFIX_LENGTH = 12
 
 
 class ClaimState(enum.StrEnum):
-    """What is known of a claimed call."""
+    """The known outcome of a claimed call."""
 
     CLAIMED = "c"
     DONE = "d"
@@ -60,11 +61,12 @@
 
 class Claim(NamedTuple):
     """
-    One claim as stored.
+    One claim, as stored.
 
-    :ivar claim_id: unique; tells this claim from another one on the same key.
+    :ivar claim_id: unique; distinguishes this claim from another one on the same key.
     :ivar fingerprint: digest of the call itself.
-    :ivar at: when, in seconds since 1970.
+    :ivar at: when it was made, in seconds since 1970.
+    :ivar state: known outcome of the call.
     """
 
     claim_id: str
@@ -75,10 +77,11 @@
 
 class ClaimDocument(msgspec.Struct, frozen=True):
     """
-    A partition as stored in the key-value service.
+    A partition, as stored in the key-value store.
 
     :ivar owner: incarnation of the only sidecar that may add claims.
-    :ivar write: number of this write, by which its writer recognises it.
+    :ivar write: sequence number, by which the owner recognises its own write.
+    :ivar claims_by_key: claims by the digest of the call's idempotency key.
     """
 
     owner: str
@@ -88,57 +91,57 @@
 
 class ClaimTable:
     """
-    The claims of one partition.
+    The claims of one partition, in the order in which they were made.
 
-    Guards that a key, once claimed, is never given out again unless its call is
-    known not to have been made.
+    A key that was claimed cannot be claimed again until the claim expires, unless its
+    call certainly was not made.
     """
 
     def __init__(self, settings: ClaimSettings, incarnation: str) -> None:
         """
-        Start empty.
+        Create an empty table.
 
-        :param settings: bound and retention.
-        :param incarnation: begins the identity of each claim made here.
+        :param settings: size limit and retention.
+        :param incarnation: prefix of the identifier of each claim added here.
         """
         self._settings = settings
-        self._incarnation = incarnation[:IDENTITY_DIGITS]
-        self._made = 0
-        self._settled_by_id: OrderedDict[str, ClaimState | None] = OrderedDict()
+        self._incarnation = incarnation[:INCARNATION_PREFIX_LENGTH]
+        self._claims_made = 0
+        self._outcome_by_claim_id: OrderedDict[str, ClaimState | None] = OrderedDict()
         self.claims_by_key: OrderedDict[str, Claim] = OrderedDict()
 
     def load(self, stored_by_key: dict[str, Claim]) -> None:
         """
-        Replace all claims by those stored, as far as this table does not know better.
+        Replace all claims by those read from the store.
 
-        A claim made here whose call was settled or not made keeps that outcome, also
-        where the write that says so was lost.
+        The outcome of a call that was claimed here takes precedence over the stored
+        claim, since the write of that outcome may have been lost.
 
         :param stored_by_key: claims as read.
         """
         ordered = sorted(stored_by_key.items(), key=lambda pair: pair[1].at)
         self.claims_by_key = OrderedDict(ordered)
         for key, claim in ordered:
-            if claim.claim_id in self._settled_by_id:
-                self._apply(key, self._settled_by_id[claim.claim_id])
+            if claim.claim_id in self._outcome_by_claim_id:
+                self._apply_outcome(key, self._outcome_by_claim_id[claim.claim_id])
 
     def add(self, key: str, fingerprint: str, now: float) -> Result[None, Failure]:
         """
-        Claim a key.
+        Add the claim of a key.
 
-        :param key: digest of the call's key.
+        :param key: digest of the call's idempotency key.
         :param fingerprint: digest of the call.
         :param now: seconds since 1970.
-        :returns: the claim is in the table; or why it may not be.
+        :returns: ``Ok`` if it was added, or the reason why the key cannot be claimed.
         """
-        known = self.claims_by_key.get(key)
-        if known is not None:
-            return Err(_refusal_of(known, fingerprint))
+        existing = self.claims_by_key.get(key)
+        if existing is not None:
+            return Err(_refusal_for(existing, fingerprint))
         self._expire(now)
         if len(self.claims_by_key) >= self._settings.most:
             return Err(Overloaded("the partition holds too many claims"))
-        self._made += 1
-        claim_id = f"{self._incarnation}:{self._made}"
+        self._claims_made += 1
+        claim_id = f"{self._incarnation}:{self._claims_made}"
         self.claims_by_key[key] = Claim(
             claim_id, fingerprint, int(now), ClaimState.CLAIMED
         )
@@ -146,31 +149,31 @@
 
     def settle(self, key: str, state: ClaimState) -> None:
         """
-        Record what became of a call claimed here.
+        Record the outcome of a call that was claimed here.
 
-        :param key: digest of the call's key.
-        :param state: what is known now.
+        :param key: digest of the call's idempotency key.
+        :param state: the outcome.
         """
-        self._remember(key, state)
+        self._record_outcome(key, state)
 
     def release(self, key: str) -> None:
         """
-        Drop the claim of a call that is known not to have been made.
+        Remove the claim of a call that certainly was not made.
 
-        :param key: digest of the call's key.
+        :param key: digest of the call's idempotency key.
         """
-        self._remember(key, None)
+        self._record_outcome(key, None)
 
-    def _remember(self, key: str, state: ClaimState | None) -> None:
+    def _record_outcome(self, key: str, state: ClaimState | None) -> None:
         claim = self.claims_by_key.get(key)
         if claim is None or not claim.claim_id.startswith(f"{self._incarnation}:"):
             return
-        self._settled_by_id[claim.claim_id] = state
-        if len(self._settled_by_id) > self._settings.most:
-            self._settled_by_id.popitem(last=False)
-        self._apply(key, state)
+        self._outcome_by_claim_id[claim.claim_id] = state
+        if len(self._outcome_by_claim_id) > self._settings.most:
+            self._outcome_by_claim_id.popitem(last=False)
+        self._apply_outcome(key, state)
 
-    def _apply(self, key: str, state: ClaimState | None) -> None:
+    def _apply_outcome(self, key: str, state: ClaimState | None) -> None:
         if state is None:
             del self.claims_by_key[key]
         else:
@@ -184,9 +187,9 @@
             del self.claims_by_key[key]
 
 
-def _refusal_of(known: Claim, fingerprint: str) -> Failure:
-    if known.fingerprint != fingerprint:
+def _refusal_for(existing: Claim, fingerprint: str) -> Failure:
+    if existing.fingerprint != fingerprint:
         return IdempotencyKeyReused("the key stands for another call")
-    if known.state is ClaimState.DONE:
+    if existing.state is ClaimState.DONE:
         return AlreadyRun("its answer is no longer kept")
     return OutcomeUnknown("a call under this key was begun and may have run")
--- a/pimentolink/directwrite.py
+++ b/pimentolink/directwrite.py
@@ -1,4 +1,4 @@
-"""TCP connections that write at once instead of waiting for the loop's next turn."""
+"""TCP connections that write to the socket without waiting for the reactor."""
 
 from __future__ import annotations
 
@@ -11,67 +11,68 @@
 from pimentolink.egressqueue import EgressQueue
 
 
-class _DirectWrites:
+class _DirectWriteMixin:
     """
-    Makes writes of a connection go to the socket straight away.
+    Makes a connection write directly to its socket.
 
-    Twisted buffers each write and has the loop watch the socket until it is written:
-    two changes to the poller for each token of a stream. Here the socket is tried
-    first, and only what it does not take is buffered as usual.
+    Twisted buffers each write and has the reactor watch the socket until it is written,
+    which costs two changes to the poller for each token of a stream. This class tries
+    the socket first and buffers only what it does not accept.
 
-    :cvar egress_queue: learns what is written; ``None`` if nobody asks.
+    :cvar egress_queue: is told the size of each write; ``None`` if not needed.
     """
 
     egress_queue: EgressQueue | None = None
 
     def write(self: Any, data: bytes) -> None:
-        """Write now what the socket takes, buffer the rest."""
+        """Write what the socket accepts now and buffer the rest."""
         if self.egress_queue is not None:
             self.egress_queue.sent(len(data))
-        if self._may_write_now():
+        if self._can_write_now():
             written = self.writeSomeData(data)
-            # An exception in place of a count is a lost connection, which the
-            # buffered way tells the protocol.
+            # Twisted returns an exception instead of a count if the connection was
+            # lost. The buffered write below then reports the loss to the protocol.
             if isinstance(written, int):
                 data = data[written:]
         if data:
             super().write(data)  # type: ignore[misc]
 
     def writeSequence(self: Any, iovec: Iterable[bytes]) -> None:  # noqa: N802
-        """Write the pieces as one."""
+        """Join the pieces and write them at once."""
         self.write(b"".join(iovec))
 
-    def _may_write_now(self: Any) -> bool:
+    def _can_write_now(self: Any) -> bool:
         is_open = self.connected and not self.disconnecting and not self.disconnected
         is_plain = not getattr(self, "TLS", False)
         is_empty = not self.dataBuffer and not self._tempDataBuffer
         return bool(is_open and is_plain and is_empty)
 
 
-class DirectServer(_DirectWrites, tcp.Server):
+class DirectServer(_DirectWriteMixin, tcp.Server):
     """
-    An accepted connection whose writes go to the socket straight away.
+    An accepted connection that writes directly to its socket.
 
-    :cvar send_buffer: bytes that the system may keep for a slow peer; 0 leaves it to
-        the system, which may keep megabytes.
+    :cvar send_buffer: size in bytes of the kernel's send buffer (``SO_SNDBUF``), which
+        holds data for a slow peer. With 0, the kernel chooses the size, which may be
+        megabytes.
     """
 
     send_buffer = 0
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
-        """Bound the system's buffer."""
+        """Set the size of the kernel's send buffer."""
         super().__init__(*args, **kwargs)
         if self.send_buffer:
             option = (socket.SOL_SOCKET, socket.SO_SNDBUF, self.send_buffer)
             self.socket.setsockopt(*option)
 
 
-class DirectClient(_DirectWrites, tcp.Client):
-    """An outgoing connection whose writes go to the socket straight away."""
+class DirectClient(_DirectWriteMixin, tcp.Client):
+    """An outgoing connection that writes directly to its socket."""
 
 
 class _DirectConnector(tcp.Connector):
-    """Makes outgoing connections that write at once."""
+    """Creates outgoing connections that write directly to their sockets."""
 
     egress_queue: EgressQueue | None = None
 
@@ -84,7 +85,7 @@
 
 
 class DirectPort(tcp.Port):
-    """A listening port whose connections write at once."""
+    """A listening port whose connections write directly to their sockets."""
 
     transport = DirectServer
 
@@ -99,21 +100,22 @@
     egress_queue: EgressQueue | None = None,
 ) -> Any:
     """
-    Listen for connections that write at once.
+    Listen for connections that write directly to their sockets.
 
-    :param reactor: the loop.
-    :param host: IP number.
+    :param reactor: the Twisted reactor.
+    :param host: IP address.
     :param port: TCP port.
-    :param factory: makes a protocol for each connection.
-    :param backlog: connections that may wait to be accepted.
-    :param send_buffer: bytes that the system may keep for a slow peer.
-    :param egress_queue: learns what is written.
+    :param factory: creates a protocol for each connection.
+    :param backlog: maximum number of connections that wait to be accepted.
+    :param send_buffer: size in bytes of the kernel's send buffer of each connection; 0
+        for the kernel's default.
+    :param egress_queue: is told the size of each write.
     :returns: the listening port.
     """
     listening = DirectPort(port, factory, backlog, host, reactor)
 
     class BoundedServer(DirectServer):
-        """A connection with this port's bound."""
+        """A connection with the send buffer size of this port."""
 
     BoundedServer.send_buffer = send_buffer
     BoundedServer.egress_queue = egress_queue
@@ -131,14 +133,14 @@
     egress_queue: EgressQueue | None = None,
 ) -> Any:
     """
-    Connect, with writes that go out at once.
+    Open a connection that writes directly to its socket.
 
-    :param reactor: the loop.
-    :param host: IP number.
+    :param reactor: the Twisted reactor.
+    :param host: IP address.
     :param port: TCP port.
-    :param factory: makes the protocol of the connection.
-    :param timeout: seconds until the attempt counts as failed.
-    :param egress_queue: learns what is written.
+    :param factory: creates the protocol of the connection.
+    :param timeout: seconds until the attempt fails.
+    :param egress_queue: is told the size of each write.
     :returns: the connector.
     """
     connector = _DirectConnector(host, port, factory, timeout, None, reactor)
@@ -149,17 +151,19 @@
 
 class DirectEndpointReactor:
     """
-    What an endpoint needs of a loop, for connections that write at once.
+    Makes Twisted's endpoints open connections that write directly to their sockets.
+
+    Implements only the part of a reactor that a TCP client endpoint uses.
 
     :source: ``IReactorTCP.connectTCP`` of Twisted.
     """
 
     def __init__(self, reactor: Any, egress_queue: EgressQueue | None = None) -> None:
         """
-        Wrap a loop.
+        Wrap a reactor.
 
-        :param reactor: the loop.
-        :param egress_queue: learns what is written.
+        :param reactor: the Twisted reactor.
+        :param egress_queue: is told the size of each write.
         """
         self._reactor = reactor
         self._egress_queue = egress_queue
@@ -167,5 +171,5 @@
     def connectTCP(  # noqa: N802
         self, host: str, port: int, factory: Any, timeout: float, **unused: Any
     ) -> Any:
-        """Connect as the loop would; endpoints of this product bind no address."""
+        """Open a connection; ignores ``bindAddress``, which no endpoint here sets."""
         return connect(self._reactor, host, port, factory, timeout, self._egress_queue)
--- a/pimentolink/engines.py
+++ b/pimentolink/engines.py
@@ -1,4 +1,4 @@
-"""Asks and orders the engine beside a sidecar over HTTP."""
+"""Queries and configures the engine of a sidecar over HTTP."""
 
 from __future__ import annotations
 
@@ -17,7 +17,12 @@
 
 
 class _StateBody(msgspec.Struct):
-    """What an engine answers when asked for its state."""
+    """
+    The response body of an engine's state endpoint.
+
+    :ivar models: versions by model name.
+    :ivar ordering: the order in progress, if any.
+    """
 
     role: str
     models: dict[str, str]
@@ -26,24 +31,24 @@
 
 
 class HttpEngineControl:
-    """Controls the engine over its HTTP interface."""
+    """Reads the state of an engine and sends orders to it."""
 
     def __init__(self, target: HttpTarget, settings: OrderSettings) -> None:
         """
-        Bind.
+        Create a control interface for one engine.
 
-        :param target: the engine.
+        :param target: the HTTP client of the engine.
         :param settings: timeouts.
         """
         self._target = target
         self._settings = settings
 
     def state(self) -> Deferred[EngineState]:
-        """Ask what the engine holds."""
+        """Query the role, models and adapters of the engine."""
         return Deferred.fromCoroutine(self._state())
 
     def order(self, wanted: Wanted, fencing_number: int) -> Deferred[None]:
-        """Give an order; ends when it took effect."""
+        """Send an order; the result fires when it has taken effect."""
         return Deferred.fromCoroutine(self._order(wanted, fencing_number))
 
     async def _state(self) -> EngineState:
@@ -64,10 +69,10 @@
             "fencing_number": fencing_number,
         }
         body = msgspec.json.encode(order)
-        patience = self._settings.timeout
+        timeout = self._settings.timeout
         failure: Failure | None = None
         try:
-            answer = await self._target.ask("POST", ORDERS_PATH, body, patience)
+            answer = await self._target.ask("POST", ORDERS_PATH, body, timeout)
         except Exception as error:
             raise OrderLost(f"{type(error).__name__}: {error}") from error
         if answer.status in REFUSED_STATUSES:
--- a/pimentolink/executor.py
+++ b/pimentolink/executor.py
@@ -1,4 +1,4 @@
-"""Carries out what entries submit to one target."""
+"""Executes the attempts that entries submit to one target."""
 
 from __future__ import annotations
 
@@ -18,17 +18,27 @@
 from pimentolink.timers import Timers
 from pimentolink.tracing import Tracing
 
-# Tokens of prompt work from which on a request weighs on others' answers.
-LONG_PREFILL = 1_024
+# Prompts of at least this many tokens slow down the other requests that the engine
+# serves at the time; their tokens are reported in the load.
+LONG_PREFILL_TOKENS = 1_024
 
 
 class Executor:
     """
-    Queues, starts and ends attempts at one target.
-
-    Each attempt that was submitted gets exactly one finish, unless its link is lost
-    or the entry cancels it. A call under a claim is made at most once, and goes on
-    to its end though nobody waits for it any more.
+    Queues, starts and finishes the attempts at one target.
+
+    Sends exactly one ``Finish`` for each submitted attempt, unless its link is lost or
+    the entry cancels it. A call under a claim is made at most once and runs to
+    completion even if no attempt waits for it any more.
+
+    :ivar older_system: target of submissions with ``to_older_system``, if there is one.
+    :ivar prefill_done: prompt tokens processed since the start.
+    :ivar decode_done: output tokens received since the start.
+    :ivar long_prefill_asked: prompt tokens of long prompts submitted since the start.
+    :ivar is_draining: whether this process is stopping.
+    :ivar is_held: whether new attempts are refused until :meth:`release`.
+    :ivar target_is_lost: whether the target has stopped responding.
+    :ivar is_drained: whether the configuration drains the target or lacks it.
     """
 
     def __init__(
@@ -38,17 +48,19 @@
         claims: ClaimSource,
         timers: Timers,
         tracing: Tracing,
-        answers_kept: int,
+        max_kept_answers: int,
     ) -> None:
         """
-        Start empty.
+        Create an executor without any attempts.
 
-        :param settings: bounds of the queue.
-        :param target: the target beside this sidecar.
-        :param claims: commits claims of calls that may not be repeated.
+        :param settings: limits of the queue.
+        :param target: the target that this sidecar serves.
+        :param claims: finds the partition that commits the claim of a call that may
+            not be repeated.
         :param timers: the timer service.
-        :param tracing: makes spans.
-        :param answers_kept: answers kept for callers that ask again.
+        :param tracing: creates spans.
+        :param max_kept_answers: number of answers kept for callers that repeat a
+            request.
         """
         self._target = target
         self._timers = timers
@@ -57,10 +69,10 @@
         self._slots = settings.slots
         self._queue: TargetQueue[AttemptKey] = TargetQueue(settings)
         self._attempts_by_key: dict[AttemptKey, Attempt] = {}
-        self._claimed = ClaimedCalls(
+        self._claimed_calls = ClaimedCalls(
             claims,
-            answers_kept,
-            self._make_claimed,
+            max_kept_answers,
+            self._start_claimed_call,
             self.finish,
             lambda: self.target_is_lost,
         )
@@ -75,17 +87,17 @@
 
     @property
     def is_accepting(self) -> bool:
-        """Whether new work is taken."""
-        is_kept_out = self.is_draining or self.is_drained or self.is_held
-        return not is_kept_out and not self.target_is_lost
+        """Whether new attempts are accepted."""
+        is_refusing_work = self.is_draining or self.is_drained or self.is_held
+        return not is_refusing_work and not self.target_is_lost
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is queued, running or under a claim."""
-        return not self._attempts_by_key and self._claimed.is_empty
+        """Whether no attempt is queued or running and no claimed call is open."""
+        return not self._attempts_by_key and self._claimed_calls.is_empty
 
     def load(self) -> link_pb2.Load:
-        """Report the load as of now."""
+        """Return the current load."""
         return link_pb2.Load(
             running=self._queue.running,
             waiting=self._queue.waiting,
@@ -101,10 +113,10 @@
 
     def submit(self, link: SidecarLink, submit: link_pb2.Submit) -> None:
         """
-        Take an attempt.
+        Queue an attempt, or join it to a claimed call with the same key.
 
-        :param link: whose it is.
-        :param submit: what to do.
+        :param link: the link it was received on.
+        :param submit: the message that describes it.
         """
         attempt = Attempt(AttemptKey(id(link), submit.attempt_id), link, submit)
         attempt.span = self._tracing.start(
@@ -112,13 +124,13 @@
         )
         if not self.is_accepting:
             failure = Draining("the target takes no new work")
-            self._send_end(attempt, finish_of(failure))
+            self._send_finish(attempt, finish_of(failure))
             return
         if submit.idempotency_key:
             self._attempts_by_key[attempt.key] = attempt
-            if self._claimed.join(attempt):
+            if self._claimed_calls.join(attempt):
                 return
-        waiting = Waiting(
+        queued = Waiting(
             attempt.key,
             min(submit.priority, LOWEST_PRIORITY),
             self._timers.now(),
@@ -126,17 +138,17 @@
             submit.decode_tokens,
         )
         self._attempts_by_key[attempt.key] = attempt
-        if submit.prefill_tokens >= LONG_PREFILL:
+        if submit.prefill_tokens >= LONG_PREFILL_TOKENS:
             self.long_prefill_asked += submit.prefill_tokens
-        self._shed(self._queue.offer(waiting), attempt)
+        self._fail_shed_attempt(self._queue.offer(queued), attempt)
         self._start_next()
 
     def cancel(self, link: SidecarLink, attempt_id: int) -> None:
         """
-        Give an attempt up; a call under a claim goes on.
+        Cancel an attempt; a call under a claim continues.
 
-        :param link: whose it is.
-        :param attempt_id: which.
+        :param link: the link it was submitted on.
+        :param attempt_id: its identifier on that link.
         """
         attempt = self._attempts_by_key.get(AttemptKey(id(link), attempt_id))
         if attempt is not None:
@@ -144,11 +156,11 @@
 
     def pause(self, link: SidecarLink, attempt_id: int, paused: bool) -> None:
         """
-        Stop or restart reading the answer of an attempt.
+        Pause or resume reading the target's response to an attempt.
 
-        :param link: whose it is.
-        :param attempt_id: which.
-        :param paused: whether to stop.
+        :param link: the link it was submitted on.
+        :param attempt_id: its identifier on that link.
+        :param paused: whether to pause.
         """
         attempt = self._attempts_by_key.get(AttemptKey(id(link), attempt_id))
         if attempt is not None and attempt.running is not None:
@@ -156,9 +168,9 @@
 
     def link_down(self, link: SidecarLink) -> None:
         """
-        Give up every attempt of a link.
+        Cancel all attempts of a link.
 
-        :param link: the link that is gone.
+        :param link: the link that was lost.
         """
         lost = [
             attempt
@@ -169,41 +181,45 @@
             self._abandon(attempt)
 
     def lose_target(self) -> None:
-        """Fail all that runs: the target no longer answers."""
+        """
+        Fail queued and running attempts, since the target no longer responds.
+
+        Attempts under a claim are left to the claimed call.
+        """
         self.target_is_lost = True
         for attempt in list(self._attempts_by_key.values()):
             if attempt.running is not None and not attempt.submit.idempotency_key:
                 attempt.running.cancel()
                 self.fail(attempt, TargetFailed("the target does not answer"))
-            elif attempt.running is None and not self._claimed.has(attempt):
+            elif attempt.running is None and not self._claimed_calls.contains(attempt):
                 self.fail(attempt, NotRun("the target does not answer"))
 
     def hold(self) -> Deferred[None]:
         """
-        Take no new work until :meth:`release`.
+        Refuse new attempts until :meth:`release`.
 
-        :returns: ends when what was taken before has ended.
+        :returns: fires when all attempts accepted before have finished.
         """
         self.is_held = True
         return self.when_idle()
 
     def release(self) -> None:
-        """Take new work again."""
+        """Accept new attempts again."""
         self.is_held = False
 
     def when_idle(self) -> Deferred[None]:
         """
-        Wait for the end of all work.
+        Wait until the executor is idle.
 
-        :returns: ends at once if there is none.
+        :returns: fires when nothing is left to do; at once if it is idle already.
         """
         waiter: Deferred[None] = Deferred()
         self._idle_waiters.append(waiter)
-        self._tell_if_idle()
+        self._notify_if_idle()
         return waiter
 
     def tokens(self, attempt: Attempt, tokens: list[str]) -> None:
-        """Pass tokens of an answer on."""
+        """Send tokens of a response to the entry."""
         attempt.link.send_event(
             link_pb2.Event(
                 attempt_id=attempt.key.attempt_id, offset=attempt.offset, tokens=tokens
@@ -216,16 +232,16 @@
         self.decode_done += len(tokens)
 
     def finish(self, attempt: Attempt, finish: link_pb2.Finish) -> None:
-        """End an attempt."""
-        self._forget(attempt)
-        self._send_end(attempt, finish)
+        """Finish an attempt and start the next one."""
+        self._remove_attempt(attempt)
+        self._send_finish(attempt, finish)
         self._start_next()
 
     def fail(self, attempt: Attempt, failure: Failure) -> None:
-        """End an attempt with a failure."""
+        """Finish an attempt with a failure."""
         self.finish(attempt, finish_of(failure))
 
-    def _send_end(self, attempt: Attempt, finish: link_pb2.Finish) -> None:
+    def _send_finish(self, attempt: Attempt, finish: link_pb2.Finish) -> None:
         attempt.span.set_attribute("outcome", finish.error_code or "complete")
         attempt.call_span.end()
         attempt.span.end()
@@ -236,13 +252,13 @@
             )
         )
 
-    def _shed(
-        self, offered: Result[AttemptKey | None, Overloaded], attempt: Attempt
+    def _fail_shed_attempt(
+        self, offer_result: Result[AttemptKey | None, Overloaded], attempt: Attempt
     ) -> None:
-        if isinstance(offered, Err):
-            self.fail(attempt, offered.err_value)
-        elif offered.ok_value is not None:
-            shed = self._attempts_by_key[offered.ok_value]
+        if isinstance(offer_result, Err):
+            self.fail(attempt, offer_result.err_value)
+        elif offer_result.ok_value is not None:
+            shed = self._attempts_by_key[offer_result.ok_value]
             self.fail(shed, Overloaded("more urgent work came"))
 
     def _start_next(self) -> None:
@@ -255,29 +271,33 @@
     def _start(self, attempt: Attempt) -> None:
         submit = attempt.submit
         if submit.idempotency_key:
-            if self._claimed.join(attempt):
-                # A slot is only held while the attempt's own call runs.
+            if self._claimed_calls.join(attempt):
+                # Only an attempt whose own call runs occupies a slot.
                 self._queue.remove(attempt.key)
             else:
-                self._claimed.start(attempt)
+                self._claimed_calls.start(attempt)
             return
         listener = _AttemptListener(self, attempt)
-        place = self._place_of(submit)
+        target = self._target_for(submit)
         if submit.prefill_tokens or submit.decode_tokens:
-            attempt.running = place.start_stream(self._call_of(attempt), listener)
+            attempt.running = target.start_stream(
+                self._make_target_call(attempt), listener
+            )
         else:
-            attempt.running = place.start_plain(self._call_of(attempt), listener)
+            attempt.running = target.start_plain(
+                self._make_target_call(attempt), listener
+            )
 
-    def _make_claimed(self, attempt: Attempt, listener: ClaimedListener) -> None:
-        place = self._place_of(attempt.submit)
-        place.start_plain(self._call_of(attempt), listener)
+    def _start_claimed_call(self, attempt: Attempt, listener: ClaimedListener) -> None:
+        target = self._target_for(attempt.submit)
+        target.start_plain(self._make_target_call(attempt), listener)
 
-    def _place_of(self, submit: link_pb2.Submit) -> Target:
+    def _target_for(self, submit: link_pb2.Submit) -> Target:
         if submit.to_older_system and self.older_system is not None:
             return self.older_system
         return self._target
 
-    def _call_of(self, attempt: Attempt) -> TargetCall:
+    def _make_target_call(self, attempt: Attempt) -> TargetCall:
         submit = attempt.submit
         headers = {header.name: header.value for header in submit.headers}
         attempt.call_span = self._tracing.start(
@@ -302,19 +322,19 @@
     def _abandon(self, attempt: Attempt) -> None:
         if attempt.running is not None:
             attempt.running.cancel()
-        self._claimed.abandon(attempt)
+        self._claimed_calls.abandon(attempt)
         attempt.call_span.end()
         attempt.span.end()
         self._tracing.take(attempt.submit.request_id)
-        self._forget(attempt)
+        self._remove_attempt(attempt)
         self._start_next()
 
-    def _forget(self, attempt: Attempt) -> None:
+    def _remove_attempt(self, attempt: Attempt) -> None:
         self._attempts_by_key.pop(attempt.key, None)
         self._queue.remove(attempt.key)
-        self._tell_if_idle()
+        self._notify_if_idle()
 
-    def _tell_if_idle(self) -> None:
+    def _notify_if_idle(self) -> None:
         if not self.is_idle:
             return
         waiters, self._idle_waiters = self._idle_waiters, []
@@ -323,7 +343,7 @@
 
 
 class _AttemptListener:
-    """Ties a call that may be repeated to its attempt."""
+    """Forwards the events of an unclaimed call to its attempt."""
 
     def __init__(self, executor: Executor, attempt: Attempt) -> None:
         self._executor = executor
--- a/pimentolink/httpclient.py
+++ b/pimentolink/httpclient.py
@@ -1,4 +1,4 @@
-"""HTTP requests over pooled connections."""
+"""An HTTP client with a connection pool."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from twisted.web.iweb import IAgentEndpointFactory, IBodyProducer, IResponse
 from zope.interface import implementer
 
-IDLE_CONNECTIONS = 256
+MAX_IDLE_CONNECTIONS = 256
 
 
 class Answer(NamedTuple):
     """
-    A whole answer.
+    A complete HTTP response.
 
-    :ivar headers: by name in lower case; the last value of each.
+    :ivar headers: last value of each header, by name in lower case.
     """
 
     status: int
@@ -37,7 +37,7 @@
         self.length = len(body)
 
     def startProducing(self, consumer: Any) -> Deferred[None]:  # noqa: N802
-        """Write the body at once."""
+        """Write the whole body to the consumer."""
         consumer.write(self._body)
         return succeed(None)
 
@@ -52,40 +52,40 @@
 
 
 @implementer(IAgentEndpointFactory)
-class _AddressEndpoints:
-    """Connects to IP numbers; the stock way resolves names on a thread of its own."""
+class _AddressEndpointFactory:
+    """Connects to IP addresses; Twisted's default resolves names in a thread."""
 
     def __init__(self, reactor: Any, timeout: float) -> None:
         self._reactor = reactor
         self._timeout = timeout
 
     def endpointForURI(self, uri: Any) -> Any:  # noqa: N802
-        """Make the endpoint of a URI."""
+        """Create the endpoint of a URI."""
         host = uri.host.decode()
         kind = TCP6ClientEndpoint if ":" in host else TCP4ClientEndpoint
         return kind(self._reactor, host, uri.port, timeout=self._timeout)
 
 
 class HttpClient:
-    """Makes requests; keeps idle connections for the next ones."""
+    """Sends HTTP requests and reuses idle connections."""
 
     def __init__(
         self, reactor: Any, connect_timeout: float, is_persistent: bool = True
     ) -> None:
         """
-        Prepare a pool.
+        Create a client with an empty pool.
 
-        :param reactor: the loop.
-        :param connect_timeout: seconds until a connection counts as failed.
-        :param is_persistent: whether connections are used again. One that is used
-            once tells more surely whether a call was sent.
+        :param reactor: the Twisted reactor.
+        :param connect_timeout: seconds until an attempt to connect fails.
+        :param is_persistent: whether connections are reused. With a new connection
+            for each request, it is more certain whether a failed request was sent.
         """
         self._reactor = reactor
         self._pool = HTTPConnectionPool(reactor, persistent=is_persistent)
-        self._pool.maxPersistentPerHost = IDLE_CONNECTIONS
-        # A retry inside the pool would run a call twice that may not be repeated.
+        self._pool.maxPersistentPerHost = MAX_IDLE_CONNECTIONS
+        # A retry by the pool could run a call twice that may not be repeated.
         self._pool.retryAutomatically = False
-        endpoints = _AddressEndpoints(reactor, connect_timeout)
+        endpoints = _AddressEndpointFactory(reactor, connect_timeout)
         self._agent = Agent.usingEndpointFactory(reactor, endpoints, self._pool)
 
     def open(
@@ -96,13 +96,15 @@
         headers: Mapping[str, str] | None = None,
     ) -> Deferred[IResponse]:
         """
-        Send a request and wait for the head of the answer.
+        Send a request and wait for the status line and headers of the response.
 
         :returns: the response; cancelling the Deferred closes the connection.
         """
-        lines = Headers({name: [value] for name, value in (headers or {}).items()})
+        raw_headers = Headers(
+            {name: [value] for name, value in (headers or {}).items()}
+        )
         producer: Any = BytesProducer(body) if body else None
-        return self._agent.request(method.encode(), url.encode(), lines, producer)
+        return self._agent.request(method.encode(), url.encode(), raw_headers, producer)
 
     def request(
         self,
@@ -113,17 +115,17 @@
         patience: float = 10.0,
     ) -> Deferred[Answer]:
         """
-        Send a request and wait for the whole answer.
+        Send a request and wait for the complete response.
 
-        :param patience: seconds until it counts as failed.
+        :param patience: seconds until the request fails.
         """
 
-        async def exchange() -> Answer:
+        async def fetch() -> Answer:
             response = await self.open(method, url, body, headers)
             content = await readBody(response)
             return Answer(response.code, header_values(response), content)
 
-        pending = Deferred.fromCoroutine(exchange())
+        pending = Deferred.fromCoroutine(fetch())
         return pending.addTimeout(patience, self._reactor)
 
     def close(self) -> Deferred[None]:
@@ -133,9 +135,9 @@
 
 def header_values(response: IResponse) -> dict[str, str]:
     """
-    Read an answer's headers.
+    Return the headers of a response.
 
-    :returns: last value by name in lower case.
+    :returns: last value of each header, by name in lower case.
     """
     return {
         name.decode("latin-1").lower(): values[-1].decode("latin-1")
--- a/pimentolink/linkclient.py
+++ b/pimentolink/linkclient.py
@@ -1,4 +1,4 @@
-"""The entry's end of links: attaches, proves itself, attaches again."""
+"""The entry's end of links: connects, authenticates and reconnects."""
 
 from __future__ import annotations
 
@@ -11,14 +11,19 @@
 
 from pimentolink import link_pb2
 from pimentolink.directwrite import connect
-from pimentolink.links import NONCE_BYTES, EntryLinkListener, LinkConnection, prove
+from pimentolink.links import (
+    NONCE_BYTES,
+    EntryLinkListener,
+    LinkConnection,
+    compute_proof,
+)
 from pimentolink.logs import Log, LogEvent
 from pimentolink.settings import LinkSettings, split_address
 from pimentolink.timers import Repeater, Timer, Timers
 
 
 class _EntryConnection(LinkConnection[link_pb2.SidecarMessage]):
-    """The entry's end of a connection."""
+    """The entry's end of one connection."""
 
     received_type = link_pb2.SidecarMessage
 
@@ -26,14 +31,14 @@
         super().__init__(client.settings, client.timers, client.log)
         self._client = client
         self._nonce = secrets.token_bytes(NONCE_BYTES)
-        self._expected = b""
+        self._expected_proof = b""
 
-    def greeting_received(self, message: link_pb2.SidecarMessage) -> None:
+    def handshake_received(self, message: link_pb2.SidecarMessage) -> None:
         kind = message.WhichOneof("body")
         if kind == "challenge":
-            self._answer(message.challenge.nonce)
-        elif kind == "hello" and self._is_proved(message.hello.proof):
-            self.rise()
+            self._answer_challenge(message.challenge.nonce)
+        elif kind == "hello" and self._is_valid_proof(message.hello.proof):
+            self.accept_peer()
             self._client.connection_up(self, message.hello)
         else:
             self._client.refused()
@@ -45,23 +50,25 @@
     def connectionLost(  # noqa: N802
         self, reason: TwistedFailure = connectionDone
     ) -> None:
-        self.end()
+        self.clean_up()
         self._client.connection_down(self)
 
-    def _answer(self, nonce: bytes) -> None:
+    def _answer_challenge(self, nonce: bytes) -> None:
         key = self._client.shared_key
         hello = self._client.listener.greeting()
         hello.nonce = self._nonce
-        hello.proof = prove(key, "entry", nonce, self._nonce)
-        self._expected = prove(key, "sidecar", nonce, self._nonce)
+        hello.proof = compute_proof(key, "entry", nonce, self._nonce)
+        self._expected_proof = compute_proof(key, "sidecar", nonce, self._nonce)
         self.write(link_pb2.EntryMessage(hello=hello))
 
-    def _is_proved(self, proof: bytes) -> bool:
-        return bool(self._expected) and hmac.compare_digest(proof, self._expected)
+    def _is_valid_proof(self, proof: bytes) -> bool:
+        return bool(self._expected_proof) and hmac.compare_digest(
+            proof, self._expected_proof
+        )
 
 
 class LinkClient(ClientFactory):
-    """The entry's end of one link; attaches again whenever it is lost."""
+    """The entry's end of one link; reconnects whenever the connection is lost."""
 
     noisy = False
 
@@ -76,15 +83,15 @@
         log: Log,
     ) -> None:
         """
-        Start attaching.
+        Start connecting.
 
-        :param reactor: the loop.
+        :param reactor: the Twisted reactor.
         :param address: the sidecar's address.
-        :param shared_key: proof that this process belongs to the system.
-        :param settings: heartbeats and patience.
-        :param listener: told of all that happens.
+        :param shared_key: authenticates processes of the system to each other.
+        :param settings: heartbeat interval, limits and timeouts.
+        :param listener: receives the events of the link.
         :param timers: the timer service.
-        :param log: where events go.
+        :param log: receives log events.
         """
         self._reactor = reactor
         self.address = address
@@ -95,50 +102,50 @@
         self.log = log
         self._connection: _EntryConnection | None = None
         self._connector: Any = None
-        self._again: Timer | None = None
+        self._reconnect_timer: Timer | None = None
         self._is_closed = False
-        self._heartbeat = Repeater(timers, settings.heartbeat, self._beat)
+        self._heartbeat = Repeater(timers, settings.heartbeat, self._send_heartbeat)
         self._connect()
 
     def send(self, message: link_pb2.EntryMessage) -> None:
-        """Send a message; dropped if the link is down, which is told separately."""
+        """Send a message; it is dropped if the link is down (see ``link_down``)."""
         if self._connection is not None:
             self._connection.write(message)
 
     def close(self) -> None:
-        """End the link for good."""
+        """End the link and do not reconnect."""
         self._is_closed = True
         self._heartbeat.cancel()
-        if self._again is not None:
-            self._again.cancel()
+        if self._reconnect_timer is not None:
+            self._reconnect_timer.cancel()
         self._connector.disconnect()
 
     def buildProtocol(self, addr: object) -> _EntryConnection:  # noqa: N802
-        """Make the protocol of a new connection."""
+        """Create the protocol of a new connection."""
         return _EntryConnection(self)
 
     def clientConnectionFailed(  # noqa: N802
         self, connector: Any, reason: TwistedFailure
     ) -> None:
-        """Try again later."""
-        self._connect_later()
+        """Reconnect after a delay."""
+        self._schedule_reconnect()
 
     def connection_up(
         self, connection: _EntryConnection, hello: link_pb2.SidecarHello
     ) -> None:
-        """Take note that the sidecar has proved itself."""
+        """Handle the authentication of the sidecar."""
         self._connection = connection
         self.listener.link_up(self, hello)
 
     def connection_down(self, connection: _EntryConnection) -> None:
-        """Take note that a connection ended; try again later."""
+        """Handle the end of a connection; reconnect after a delay."""
         if connection is self._connection:
             self._connection = None
             self.listener.link_down(self)
-        self._connect_later()
+        self._schedule_reconnect()
 
     def refused(self) -> None:
-        """Tell that the peer could not prove itself."""
+        """Log that the peer failed to authenticate."""
         self.log.write(LogEvent.LINK_REFUSED, address=self.address)
 
     def _connect(self) -> None:
@@ -146,10 +153,10 @@
         timeout = self.settings.silence
         self._connector = connect(self._reactor, host, port, self, timeout)
 
-    def _connect_later(self) -> None:
+    def _schedule_reconnect(self) -> None:
         if not self._is_closed:
-            pause = self.settings.reconnect
-            self._again = self.timers.call_later(pause, self._connect)
+            delay = self.settings.reconnect
+            self._reconnect_timer = self.timers.call_later(delay, self._connect)
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         self.send(link_pb2.EntryMessage(heartbeat=link_pb2.Heartbeat()))
--- a/pimentolink/linkserver.py
+++ b/pimentolink/linkserver.py
@@ -1,4 +1,4 @@
-"""The sidecar's end of links: lets in who proves itself, batches answers."""
+"""The sidecar's end of links: authenticates entries and batches events."""
 
 from __future__ import annotations
 
@@ -12,7 +12,12 @@
 
 from pimentolink import link_pb2
 from pimentolink.directwrite import listen
-from pimentolink.links import NONCE_BYTES, LinkConnection, SidecarLinkListener, prove
+from pimentolink.links import (
+    NONCE_BYTES,
+    LinkConnection,
+    SidecarLinkListener,
+    compute_proof,
+)
 from pimentolink.logs import Log, LogEvent
 from pimentolink.settings import LinkSettings, split_address
 from pimentolink.timers import Timers
@@ -21,7 +26,7 @@
 
 
 class _SidecarConnection(LinkConnection[link_pb2.EntryMessage]):
-    """The sidecar's end of a connection."""
+    """The sidecar's end of one connection."""
 
     received_type = link_pb2.EntryMessage
 
@@ -38,7 +43,7 @@
         self.write(link_pb2.SidecarMessage(challenge=challenge))
 
     def send(self, message: link_pb2.SidecarMessage) -> None:
-        # A control message must not overtake an earlier answer.
+        # A control message must not overtake events queued before it.
         self.flush()
         self.write(message)
 
@@ -55,18 +60,18 @@
         step = link_pb2.Step(events=events, load=load)
         self.write(link_pb2.SidecarMessage(step=step))
 
-    def greeting_received(self, message: link_pb2.EntryMessage) -> None:
+    def handshake_received(self, message: link_pb2.EntryMessage) -> None:
         hello = message.hello
         key = self._server.shared_key
-        expected = prove(key, "entry", self._nonce, hello.nonce)
+        expected = compute_proof(key, "entry", self._nonce, hello.nonce)
         if not hmac.compare_digest(hello.proof, expected):
             self._server.refused(self)
             self.abort()
             return
-        answer = self._server.listener.greeting()
-        answer.proof = prove(key, "sidecar", self._nonce, hello.nonce)
-        self.write(link_pb2.SidecarMessage(hello=answer))
-        self.rise()
+        reply = self._server.listener.greeting()
+        reply.proof = compute_proof(key, "sidecar", self._nonce, hello.nonce)
+        self.write(link_pb2.SidecarMessage(hello=reply))
+        self.accept_peer()
         self._server.listener.link_up(self, hello)
 
     def message_received(self, message: link_pb2.EntryMessage) -> None:
@@ -76,14 +81,14 @@
     def connectionLost(  # noqa: N802
         self, reason: TwistedFailure = connectionDone
     ) -> None:
-        self.end()
+        self.clean_up()
         self._server.connections.discard(self)
         if self.is_up:
             self._server.listener.link_down(self)
 
 
 class LinkServer(Factory):
-    """Takes the links of all entries."""
+    """Accepts the links of all entries."""
 
     noisy = False
 
@@ -97,14 +102,14 @@
         log: Log,
     ) -> None:
         """
-        Prepare; nothing listens yet.
+        Create a server that does not listen yet.
 
-        :param reactor: the loop.
-        :param shared_key: what entries prove themselves with.
-        :param settings: bounds and patience.
-        :param listener: told of all that happens.
+        :param reactor: the Twisted reactor.
+        :param shared_key: authenticates processes of the system to each other.
+        :param settings: limits and timeouts.
+        :param listener: receives the events of all links.
         :param timers: the timer service.
-        :param log: where events go.
+        :param log: receives log events.
         """
         self._reactor = reactor
         self.shared_key = shared_key
@@ -117,10 +122,12 @@
 
     def start(self, address: str) -> bool:
         """
-        Listen; holding the port holds the target's one slot.
+        Start listening.
 
-        :param address: where.
-        :returns: whether the slot was free.
+        The port serves as a lock: only one sidecar at a time can serve its target.
+
+        :param address: host and port.
+        :returns: whether the port was free.
         """
         host, port = split_address(address)
         try:
@@ -131,11 +138,11 @@
 
     @property
     def open_links(self) -> int:
-        """Links that have not ended yet."""
+        """Number of connections that have not ended."""
         return len(self.connections)
 
     def stop(self) -> None:
-        """End every link once what is queued for it has gone out."""
+        """Stop listening and close each link after its queued data was sent."""
         self._port.stopListening()
         for connection in list(self.connections):
             connection.flush()
@@ -143,10 +150,10 @@
             connection.transport.loseConnection()
 
     def buildProtocol(self, addr: object) -> _SidecarConnection:  # noqa: N802
-        """Make the protocol of a new connection."""
+        """Create the protocol of a new connection."""
         return _SidecarConnection(self)
 
     def refused(self, connection: _SidecarConnection) -> None:
-        """Tell that a peer could not prove itself."""
+        """Log that a peer failed to authenticate."""
         peer = connection.transport.getPeer()
         self.log.write(LogEvent.LINK_REFUSED, peer=str(peer))
--- a/pimentolink/targetqueue.py
+++ b/pimentolink/targetqueue.py
@@ -1,4 +1,4 @@
-"""The queue before one target: by priority, with aging, bounded."""
+"""A bounded priority queue with aging for the requests to one target."""
 
 from __future__ import annotations
 
@@ -17,34 +17,37 @@
 
 class Waiting(NamedTuple, Generic[Key]):
     """
-    A request in the queue.
+    A queued or running request.
 
     :ivar priority: 0 is the most urgent.
-    :ivar since: when it came, in seconds of the timer service.
-    :ivar prefill_tokens: predicted prompt work.
-    :ivar decode_tokens: predicted output work.
+    :ivar queued_at: when it was queued, in seconds of the timer service.
+    :ivar prefill_tokens: predicted number of prompt tokens left to process.
+    :ivar decode_tokens: predicted number of output tokens.
     """
 
     key: Key
     priority: int
-    since: float
+    queued_at: float
     prefill_tokens: int
     decode_tokens: int
 
 
 class TargetQueue(Generic[Key]):
     """
-    Requests before and in one target.
+    The requests that wait for one target or run at it.
 
-    Guards the bounds: at most ``slots`` run, at most ``waiting`` wait. At the bound
-    the least urgent is shed, be it a waiting one or the new one.
+    At most ``slots`` requests run and at most ``waiting`` wait. If the queue is full,
+    the least urgent request is shed: either one that waits or the new one.
+
+    :ivar prefill_tokens: predicted prompt tokens of all requests, not yet processed.
+    :ivar decode_tokens: predicted output tokens of all requests.
     """
 
     def __init__(self, settings: QueueSettings) -> None:
         """
-        Start empty.
+        Create an empty queue.
 
-        :param settings: bounds and aging.
+        :param settings: limits and aging.
         """
         self._settings = settings
         self._waiting_by_priority: list[OrderedDict[Key, Waiting[Key]]] = [
@@ -56,12 +59,12 @@
 
     @property
     def running(self) -> int:
-        """Requests that the target works on."""
+        """Number of requests that run at the target."""
         return len(self._running_by_key)
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of requests that wait."""
         return sum(len(waiting) for waiting in self._waiting_by_priority)
 
     def offer(self, item: Waiting[Key]) -> Result[Key | None, Overloaded]:
@@ -69,25 +72,26 @@
         Queue a request.
 
         :param item: the request.
-        :returns: the key that was shed for it, if any; or a refusal.
+        :returns: the key of the request that was shed to make room, if any; or an
+            error if this request was refused.
         """
         shed: Key | None = None
         if self.waiting >= self._settings.waiting:
-            worst = self._least_urgent()
-            if worst.priority <= item.priority:
+            least_urgent = self._least_urgent()
+            if least_urgent.priority <= item.priority:
                 return Err(Overloaded("the target's queue is full"))
-            self.remove(worst.key)
-            shed = worst.key
+            self.remove(least_urgent.key)
+            shed = least_urgent.key
         self._waiting_by_priority[item.priority][item.key] = item
-        self._count(item, 1)
+        self._add_work(item, 1)
         return Ok(shed)
 
     def take(self, now: float) -> Waiting[Key] | None:
         """
-        Move the next request into the target, if a slot is free.
+        Move the most urgent request to the running ones, if a slot is free.
 
-        :param now: the time.
-        :returns: the request to start, or ``None``.
+        :param now: seconds of the timer service.
+        :returns: the request to start, or ``None`` if no slot is free or none waits.
         """
         if self.running >= self._settings.slots:
             return None
@@ -98,16 +102,16 @@
         ]
         if not heads:
             return None
-        item = min(heads, key=lambda head: self._rank(head, now))
+        item = min(heads, key=lambda head: self._aged_priority(head, now))
         del self._waiting_by_priority[item.priority][item.key]
         self._running_by_key[item.key] = item
         return item
 
     def prefilled(self, key: Key) -> None:
         """
-        Count a running request's prompt as read.
+        Record that the prompt of a running request was processed.
 
-        :param key: the request.
+        :param key: of the request.
         """
         item = self._running_by_key.get(key)
         if item is not None:
@@ -116,22 +120,22 @@
 
     def remove(self, key: Key) -> bool:
         """
-        Forget a request, waiting or running.
+        Remove a request, waiting or running.
 
-        :param key: the request.
+        :param key: of the request.
         :returns: whether it was running.
         """
         if key in self._running_by_key:
-            self._count(self._running_by_key.pop(key), -1)
+            self._add_work(self._running_by_key.pop(key), -1)
             return True
         for waiting in self._waiting_by_priority:
             if key in waiting:
-                self._count(waiting.pop(key), -1)
+                self._add_work(waiting.pop(key), -1)
         return False
 
-    def _rank(self, item: Waiting[Key], now: float) -> tuple[float, float]:
-        raised = (now - item.since) / self._settings.aging
-        return item.priority - raised, item.since
+    def _aged_priority(self, item: Waiting[Key], now: float) -> tuple[float, float]:
+        aging_boost = (now - item.queued_at) / self._settings.aging
+        return item.priority - aging_boost, item.queued_at
 
     def _least_urgent(self) -> Waiting[Key]:
         for waiting in reversed(self._waiting_by_priority):
@@ -139,6 +143,6 @@
                 return waiting[next(reversed(waiting))]
         raise LookupError("the queue is empty")
 
-    def _count(self, item: Waiting[Key], sign: int) -> None:
+    def _add_work(self, item: Waiting[Key], sign: int) -> None:
         self.prefill_tokens += sign * item.prefill_tokens
         self.decode_tokens += sign * item.decode_tokens
--- a/pimentolink/targets.py
+++ b/pimentolink/targets.py
@@ -1,4 +1,4 @@
-"""Calls to the target beside a sidecar."""
+"""The client that a sidecar uses to call its target."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
 PROBE_PATH = "/health"
 EXPORT_PATH = "/cache/export"
 IMPORT_PATH = "/cache/import"
-IMPORT_PATIENCE = 2.0
-STREAM_PREFIX = b"data: "
-STREAM_END = b"[DONE]"
+IMPORT_TIMEOUT = 2.0
+SSE_DATA_PREFIX = b"data: "
+SSE_DONE = b"[DONE]"
 
 
 class TargetCall(NamedTuple):
     """
     One call to a target.
 
-    :ivar attempt: unique for each call; the target's answer names it.
-    :ivar resume_tokens: tokens of the answer that the caller has already.
-    :ivar prefill_only: whether to answer one token and export the KV cache; it comes
-        as the answer's body.
-    :ivar cache: KV cache to import first, or nothing.
-    :ivar is_repeatable: whether doing it again does no harm.
+    :ivar attempt: unique request identifier, which the target returns in its response.
+    :ivar resume_tokens: tokens of the response that the caller already has.
+    :ivar is_repeatable: whether the call may be made more than once.
+    :ivar prefill_only: whether to generate only one token and export the KV cache,
+        which is delivered as the body of the response.
+    :ivar cache: KV cache to import before the call; empty if there is none.
     """
 
     attempt: str
@@ -58,48 +58,58 @@
 
 
 class CallListener(Protocol):
-    """Told what comes of a call; exactly one of the last two is called, once."""
+    """
+    Receives the events of a call.
+
+    Either ``finished`` or ``failed`` is called, exactly once, unless the call was
+    cancelled.
+    """
 
     def tokens(self, tokens: list[str]) -> None:
-        """Take tokens of a model's answer."""
+        """Receive tokens of a model's response."""
 
     def finished(self, answer: Answer, finish_reason: str) -> None:
-        """Take the end of a whole answer; its body is empty for a model's."""
+        """
+        Receive a complete response.
+
+        Its body is empty for a model's, whose tokens were delivered before, or the KV
+        cache if the call was ``prefill_only``.
+        """
 
     def failed(self, failure: Failure) -> None:
-        """Take a failure; ``failure.ran`` tells whether the call may have run."""
+        """Receive a failure; ``failure.ran`` tells whether the call may have run."""
 
 
 class RunningCall(Protocol):
-    """A call under way."""
+    """A call in progress."""
 
     def cancel(self) -> None:
-        """Give the call up; its listener is told nothing more."""
+        """Cancel the call; its listener is not called any more."""
 
     def pause(self, paused: bool) -> None:
-        """Stop or restart reading the answer."""
+        """Pause or resume reading the response."""
 
 
 class Target(Protocol):
-    """What a sidecar needs of its target."""
+    """The interface of a sidecar to its target."""
 
     def start_stream(self, call: TargetCall, listener: CallListener) -> RunningCall:
-        """Start a model's call."""
+        """Start a call to a model, whose response is a stream of tokens."""
 
     def start_plain(self, call: TargetCall, listener: CallListener) -> RunningCall:
-        """Start a plain service's call."""
+        """Start a call to a plain service, whose response is read as a whole."""
 
     def probe(self, patience: float) -> Deferred[None]:
         """
-        Find out whether the target answers at all.
+        Check that the target responds.
 
-        :param patience: seconds to wait.
-        :raises Exception: without an answer.
+        :param patience: seconds to wait for the response.
+        :raises Exception: if there is none.
         """
 
 
 class _Choice(msgspec.Struct):
-    """One choice of a streamed answer; ``text`` or ``delta`` holds the token."""
+    """One choice of a streamed response; ``text`` or ``delta`` holds the token."""
 
     text: str = ""
     delta: dict[str, str] = {}
@@ -108,9 +118,10 @@
 
 class _Chunk(msgspec.Struct):
     """
-    One event of a streamed answer.
+    One event of a streamed response.
 
-    :source: OpenAI completions API, streamed; ``request_id`` is the engine's echo.
+    :ivar request_id: the request identifier, as returned by the engine.
+    :source: OpenAI completions API, streaming mode, except ``request_id``.
     """
 
     choices: list[_Choice]
@@ -120,8 +131,8 @@
 _chunk_decoder = msgspec.json.Decoder(_Chunk)
 
 
-class _StreamReader(LineOnlyReceiver):
-    """Reads the server-sent events of one answer."""
+class _EventStreamReader(LineOnlyReceiver):
+    """Parses the server-sent events of one response."""
 
     delimiter = b"\n"
     MAX_LENGTH = 1_000_000
@@ -131,8 +142,8 @@
         self._call = call
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802
-        if line.startswith(STREAM_PREFIX):
-            self._call.event_received(line[len(STREAM_PREFIX) :].strip())
+        if line.startswith(SSE_DATA_PREFIX):
+            self._call.event_received(line[len(SSE_DATA_PREFIX) :].strip())
 
     def connectionLost(  # noqa: N802
         self, reason: TwistedFailure = connectionDone
@@ -153,7 +164,7 @@
 
 
 class _HttpCall:
-    """A call over HTTP; tells its listener the outcome once."""
+    """A call over HTTP; reports the outcome to its listener once."""
 
     def __init__(
         self, target: HttpTarget, call: TargetCall, listener: CallListener
@@ -161,9 +172,9 @@
         self._target = target
         self._call = call
         self._listener: CallListener | None = listener
-        self._reader: _StreamReader | None = None
+        self._reader: _EventStreamReader | None = None
         self._finish_reason = ""
-        self._is_whole = False
+        self._is_done = False
         self.pending: Deferred[Any] | None = None
 
     def cancel(self) -> None:
@@ -178,14 +189,14 @@
             self._reader.pause(paused)
 
     def stream_opened(self, response: IResponse) -> None:
-        self._reader = _StreamReader(self)
-        _deliver(response, self._reader)
+        self._reader = _EventStreamReader(self)
+        _deliver_body(response, self._reader)
 
     def event_received(self, data: bytes) -> None:
-        if self._listener is None or self._is_whole:
+        if self._listener is None or self._is_done:
             return
-        if data == STREAM_END:
-            self._is_whole = True
+        if data == SSE_DONE:
+            self._is_done = True
             return
         try:
             chunk = _chunk_decoder.decode(data)
@@ -195,9 +206,9 @@
         if chunk.request_id not in ("", self._call.attempt):
             self._abort(CrossedAnswer(f"for {chunk.request_id}"))
             return
-        self._take(chunk)
+        self._handle_chunk(chunk)
 
-    def _take(self, chunk: _Chunk) -> None:
+    def _handle_chunk(self, chunk: _Chunk) -> None:
         tokens = []
         for choice in chunk.choices:
             token = choice.text or choice.delta.get("content", "")
@@ -207,17 +218,17 @@
         if tokens and self._listener is not None:
             self._listener.tokens(tokens)
 
-    def stream_ended(self, was_whole: bool) -> None:
-        if not (self._is_whole and was_whole):
+    def stream_ended(self, is_body_complete: bool) -> None:
+        if not (self._is_done and is_body_complete):
             self.fail(TargetFailed("the answer broke off"))
         elif self._call.prefill_only:
             self._reader = None
-            self.pending = Deferred.fromCoroutine(self._export())
+            self.pending = Deferred.fromCoroutine(self._export_cache())
         else:
             self.finish(Answer(200, {}, b""))
 
-    async def _export(self) -> None:
-        """Fetch the KV cache; without it the next engine reads the prompt again."""
+    async def _export_cache(self) -> None:
+        """Export the KV cache; without it, the next engine repeats the prefill."""
         try:
             answer = await self._target.ask("POST", EXPORT_PATH, self._call.body)
             cache = answer.body if answer.status == 200 else b""
@@ -228,9 +239,9 @@
         self.finish(Answer(200, {}, cache))
 
     def finish(self, answer: Answer) -> None:
-        echo = answer.headers.get(REQUEST_ID_HEADER, self._call.attempt)
-        if echo != self._call.attempt:
-            self.fail(CrossedAnswer(f"for {echo}"))
+        echoed_id = answer.headers.get(REQUEST_ID_HEADER, self._call.attempt)
+        if echoed_id != self._call.attempt:
+            self.fail(CrossedAnswer(f"for {echoed_id}"))
             return
         listener, self._listener = self._listener, None
         if listener is not None:
@@ -247,31 +258,33 @@
 
 
 class HttpTarget:
-    """The target over HTTP."""
+    """A target that is called over HTTP."""
 
     def __init__(self, reactor: Any, address: str, timeout: float) -> None:
         """
-        Prepare calls.
+        Create a client; connections are opened when they are needed.
 
-        :param reactor: the loop.
-        :param address: where the target listens.
-        :param timeout: seconds until a plain call counts as unanswered.
+        :param reactor: the Twisted reactor.
+        :param address: host and port of the target.
+        :param timeout: seconds until a call to a plain service fails.
         """
         self._client = HttpClient(reactor, CONNECT_TIMEOUT)
-        self._single_client = HttpClient(reactor, CONNECT_TIMEOUT, is_persistent=False)
+        self._unpooled_client = HttpClient(
+            reactor, CONNECT_TIMEOUT, is_persistent=False
+        )
         self._address = address
         self._timeout = timeout
 
     def start_stream(self, call: TargetCall, listener: CallListener) -> RunningCall:
-        """Start a model's call."""
+        """Start a call to a model, whose response is a stream of tokens."""
         running = _HttpCall(self, call, listener)
         running.pending = Deferred.fromCoroutine(self._stream(running, call))
         return running
 
     def start_plain(self, call: TargetCall, listener: CallListener) -> RunningCall:
-        """Start a plain service's call."""
+        """Start a call to a plain service, whose response is read as a whole."""
         running = _HttpCall(self, call, listener)
-        client = self._client if call.is_repeatable else self._single_client
+        client = self._client if call.is_repeatable else self._unpooled_client
         running.pending = client.request(
             call.method,
             self._url(call.path),
@@ -279,34 +292,40 @@
             _headers(call),
             patience=self._timeout,
         )
-        Deferred.fromCoroutine(_follow_plain(running, running.pending))
+        Deferred.fromCoroutine(_await_plain_response(running, running.pending))
         return running
 
     async def _stream(self, running: _HttpCall, call: TargetCall) -> None:
         if call.cache:
-            await self._import(call.cache)
+            await self._import_cache(call.cache)
         body = _engine_body(call)
         url = self._url(call.path)
         pending = self._client.open(call.method, url, body, _headers(call))
-        await _follow_stream(running, pending)
+        await _await_stream_response(running, pending)
 
-    async def _import(self, cache: bytes) -> None:
+    async def _import_cache(self, cache: bytes) -> None:
         try:
-            await self.ask("POST", IMPORT_PATH, cache, IMPORT_PATIENCE)
+            await self.ask("POST", IMPORT_PATH, cache, IMPORT_TIMEOUT)
         except CancelledError:
             raise
         except Exception:
-            # The engine reads the prompt itself then: later, but as right.
+            # The engine then does the prefill itself, which is slower but as correct.
             return
 
     def probe(self, patience: float) -> Deferred[None]:
-        """Find out whether the target answers at all."""
-        return self.ask("GET", PROBE_PATH, patience=patience).addCallback(_ignore)
+        """Check that the target responds."""
+        return self.ask("GET", PROBE_PATH, patience=patience).addCallback(
+            _discard_answer
+        )
 
     def ask(
         self, method: str, path: str, body: bytes = b"", patience: float = 2.0
     ) -> Deferred[Answer]:
-        """Make a call of the sidecar's own."""
+        """
+        Send a request of the sidecar itself, with a JSON body if any.
+
+        :param patience: seconds until the request fails.
+        """
         return self._client.request(
             method, self._url(path), body, _json_headers(body), patience
         )
@@ -319,38 +338,40 @@
         return f"http://{self._address}{path}"
 
 
-async def _follow_stream(running: _HttpCall, pending: Deferred[IResponse]) -> None:
+async def _await_stream_response(
+    running: _HttpCall, pending: Deferred[IResponse]
+) -> None:
     try:
         response = await pending
     except CancelledError:
         return
     except Exception as error:
-        running.fail(_failure_of(error))
+        running.fail(_failure_from_error(error))
         return
     running.pending = None
     if response.code != 200:
-        running.fail(_failure_of_status(response.code))
-        _deliver(response, _StreamReader(running))
+        running.fail(_failure_from_status(response.code))
+        _deliver_body(response, _EventStreamReader(running))
         return
     running.stream_opened(response)
 
 
-async def _follow_plain(running: _HttpCall, pending: Deferred[Answer]) -> None:
+async def _await_plain_response(running: _HttpCall, pending: Deferred[Answer]) -> None:
     try:
         answer = await pending
     except CancelledError:
         return
     except Exception as error:
-        running.fail(_failure_of(error))
+        running.fail(_failure_from_error(error))
         return
     running.finish(answer)
 
 
-def _deliver(response: Any, reader: _StreamReader) -> None:
+def _deliver_body(response: Any, reader: _EventStreamReader) -> None:
     response.deliverBody(reader)
 
 
-def _failure_of_status(status: int) -> Failure:
+def _failure_from_status(status: int) -> Failure:
     detail = f"the engine answered {status}"
     if status in (429, 503):
         return NotRun(detail)
@@ -359,15 +380,15 @@
     return TargetFailed(detail)
 
 
-def _failure_of(error: Exception) -> Failure:
+def _failure_from_error(error: Exception) -> Failure:
     detail = f"{type(error).__name__}: {error}"
     if isinstance(error, ConnectError):
         return NotRun(detail)
     return TargetFailed(detail)
 
 
-def _ignore(_: Answer) -> None:
-    """Turn any answer into none."""
+def _discard_answer(_: Answer) -> None:
+    """Discard the result of a Deferred."""
 
 
 def _headers(call: TargetCall) -> dict[str, str]:
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Committing claims: few writes, no claim without its write, no lost authority."""
+"""Committing claims: batched writes, no grant before its write, loss of ownership."""
 
 import pytest
 from result import Err
@@ -10,13 +10,15 @@
 from pimentolink.timers import ManualTimers
 
 
-class Site:
+class Harness:
     def __init__(self):
         self.timers = ManualTimers()
         self.store = MemoryStore()
 
-    def partition(self, life):
-        return ClaimPartition("p", life, self.store, self.timers, ClaimSettings())
+    def partition(self, incarnation):
+        return ClaimPartition(
+            "p", incarnation, self.store, self.timers, ClaimSettings()
+        )
 
     def claim(self, partition, key):
         outcome = []
@@ -25,68 +27,68 @@
 
 
 @pytest.fixture
-def site():
-    return Site()
+def harness():
+    return Harness()
 
 
 class TestBudget:
-    def test_many_claims_share_few_writes(self, site):
-        partition = site.partition("one")
+    def test_many_claims_share_few_writes(self, harness):
+        partition = harness.partition("one")
         outcomes = []
         for number in range(400):
-            outcomes.append(site.claim(partition, f"key-{number}"))
-            site.timers.advance(0.005)
-        site.timers.advance(1.0)
+            outcomes.append(harness.claim(partition, f"key-{number}"))
+            harness.timers.advance(0.005)
+        harness.timers.advance(1.0)
         assert all(outcome and not isinstance(outcome[0], Err) for outcome in outcomes)
-        # 400 claims in 2 s, at 10 writes a second, and one reading at take-over.
-        assert site.store.calls <= 24
+        # 400 claims in 2 s, at 10 writes per second, plus one read at take-over.
+        assert harness.store.calls <= 24
 
-    def test_idle_partition_asks_nothing(self, site):
-        partition = site.partition("one")
-        site.claim(partition, "a")
-        site.timers.advance(2.0)
-        before = site.store.calls
-        site.timers.advance(1_000.0)
-        assert site.store.calls == before
+    def test_idle_partition_asks_nothing(self, harness):
+        partition = harness.partition("one")
+        harness.claim(partition, "a")
+        harness.timers.advance(2.0)
+        before = harness.store.calls
+        harness.timers.advance(1_000.0)
+        assert harness.store.calls == before
 
 
 class TestAuthority:
-    def test_former_owner_is_refused_and_its_key_stays_free(self, site):
-        old, new = site.partition("old"), site.partition("new")
-        site.claim(old, "first")
-        site.timers.advance(1.0)
-        site.claim(new, "second")
-        site.timers.advance(1.0)
-        lost = site.claim(old, "third")
-        site.timers.advance(1.0)
+    def test_former_owner_is_refused_and_its_key_stays_free(self, harness):
+        old, new = harness.partition("old"), harness.partition("new")
+        harness.claim(old, "first")
+        harness.timers.advance(1.0)
+        harness.claim(new, "second")
+        harness.timers.advance(1.0)
+        lost = harness.claim(old, "third")
+        harness.timers.advance(1.0)
         assert isinstance(lost[0].err_value, ClaimContended)
-        again = site.claim(new, "third")
-        site.timers.advance(1.0)
+        again = harness.claim(new, "third")
+        harness.timers.advance(1.0)
         assert not isinstance(again[0], Err)
 
-    def test_claim_of_a_dead_owner_is_unknown(self, site):
-        site.claim(site.partition("dead"), "key")
-        site.timers.advance(1.0)
-        asked = site.claim(site.partition("next"), "key")
-        site.timers.advance(1.0)
+    def test_claim_of_a_dead_owner_is_unknown(self, harness):
+        harness.claim(harness.partition("dead"), "key")
+        harness.timers.advance(1.0)
+        asked = harness.claim(harness.partition("next"), "key")
+        harness.timers.advance(1.0)
         assert isinstance(asked[0].err_value, OutcomeUnknown)
 
-    def test_lost_answer_is_read_back_and_granted(self, site):
-        partition = site.partition("one")
-        site.claim(partition, "a")
-        site.timers.advance(1.0)
-        site.store.answers_to_lose = 1
-        granted = site.claim(partition, "b")
-        site.timers.advance(1.0)
+    def test_lost_answer_is_read_back_and_granted(self, harness):
+        partition = harness.partition("one")
+        harness.claim(partition, "a")
+        harness.timers.advance(1.0)
+        harness.store.answers_to_lose = 1
+        granted = harness.claim(partition, "b")
+        harness.timers.advance(1.0)
         assert not isinstance(granted[0], Err)
 
-    def test_outage_refuses_as_not_run_and_leaves_the_key_free(self, site):
-        partition = site.partition("one")
-        site.store.set_down(True)
-        refused = site.claim(partition, "a")
-        site.timers.advance(1.0)
+    def test_outage_refuses_as_not_run_and_leaves_the_key_free(self, harness):
+        partition = harness.partition("one")
+        harness.store.set_down(True)
+        refused = harness.claim(partition, "a")
+        harness.timers.advance(1.0)
         assert refused[0].err_value.ran is False
-        site.store.set_down(False)
-        granted = site.claim(partition, "a")
-        site.timers.advance(1.0)
+        harness.store.set_down(False)
+        granted = harness.claim(partition, "a")
+        harness.timers.advance(1.0)
         assert not isinstance(granted[0], Err)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,31 +1,31 @@
-"""When a link is given up for silence, in virtual time."""
+"""Ending links whose peer sends nothing, in virtual time."""
 
 import pytest
 from twisted.internet.testing import StringTransport
 
 from pimentolink import link_pb2
-from pimentolink.links import CHECKS_IN_SILENCE, LinkConnection
+from pimentolink.links import CHECKS_PER_SILENCE_TIMEOUT, LinkConnection
 from pimentolink.logs import LogEvent
 from pimentolink.settings import LinkSettings
 from pimentolink.timers import ManualTimers
 
 SETTINGS = LinkSettings(silence=4.0)
-CHECK = SETTINGS.silence / CHECKS_IN_SILENCE
+CHECK_INTERVAL = SETTINGS.silence / CHECKS_PER_SILENCE_TIMEOUT
 
 
-class LateTimers(ManualTimers):
-    """A loop that stood still: calls are made after the moment they were due."""
+class StalledTimers(ManualTimers):
+    """A process that was stalled: timers fire after the time they were due."""
 
-    stood = 0.0
+    stalled_for = 0.0
 
     def now(self):
-        return super().now() + self.stood
+        return super().now() + self.stalled_for
 
 
 class Connection(LinkConnection):
     received_type = link_pb2.SidecarMessage
 
-    def greeting_received(self, message):
+    def handshake_received(self, message):
         pass
 
 
@@ -34,7 +34,7 @@
         pass
 
 
-class Lines:
+class RecordingLog:
     def __init__(self):
         self.lines = []
 
@@ -44,31 +44,31 @@
 
 @pytest.fixture
 def log():
-    return Lines()
+    return RecordingLog()
 
 
 @pytest.fixture
 def timers():
-    return LateTimers()
+    return StalledTimers()
 
 
 @pytest.fixture
 def connection(timers, log):
-    made = Connection(SETTINGS, timers, log)
-    made.makeConnection(Transport())
-    return made
+    link_connection = Connection(SETTINGS, timers, log)
+    link_connection.makeConnection(Transport())
+    return link_connection
 
 
 class TestSilence:
     def test_bound_follows_from_the_settings(self, connection, timers, log):
-        """Links of paused processes were still up 20 s later."""
+        """Links to paused processes were still up after 20 s."""
         timers.advance(SETTINGS.silence)
         assert not connection.transport.disconnecting
-        timers.advance(CHECK)
+        timers.advance(CHECK_INTERVAL)
         assert connection.transport.disconnecting
         ((event, fields),) = log.lines
         assert event is LogEvent.LINK_SILENT
-        assert fields["silent"] <= SETTINGS.silence + CHECK
+        assert fields["silent"] <= SETTINGS.silence + CHECK_INTERVAL
 
     def test_part_of_a_long_message_is_a_sign_of_life(self, connection, timers):
         timers.advance(SETTINGS.silence)
@@ -77,14 +77,14 @@
         assert not connection.transport.disconnecting
 
     def test_bytes_that_wait_after_a_standstill_keep_the_link(self, connection, timers):
-        """A process that stood still ended all its links, though peers had sent."""
-        timers.stood = 10.0
-        timers.call_later(CHECK, lambda: connection.dataReceived(b"\0\0\0\0"))
-        timers.advance(CHECK)
+        """A stalled process ended all its links, although peers had sent data."""
+        timers.stalled_for = 10.0
+        timers.call_later(CHECK_INTERVAL, lambda: connection.dataReceived(b"\0\0\0\0"))
+        timers.advance(CHECK_INTERVAL)
         assert not connection.transport.disconnecting
 
     def test_silent_link_ends_right_after_a_standstill(self, connection, timers, log):
-        timers.stood = 10.0
-        timers.advance(CHECK)
+        timers.stalled_for = 10.0
+        timers.advance(CHECK_INTERVAL)
         assert connection.transport.disconnecting
         assert log.lines[0][1]["late"] == 10.0
