--- a/pimentolink/adoption.py
+++ b/pimentolink/adoption.py
@@ -1,4 +1,4 @@
-"""The configuration that a process acts on."""
+"""Holds the configuration that a process acts on."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 import msgspec
 
-from pimentolink.configstore import digest_of, patched
+from pimentolink.configstore import apply_patch, document_digest
 from pimentolink.configuration import AcceptedConfiguration, ServiceConfiguration
 from pimentolink.logs import Log, LogEvent
 
 
 class Adoption:
     """
-    Holds the accepted configuration that is in force here.
+    Holds the accepted configuration that is in force in this process.
 
-    Guards the rule that an accepted configuration never reverts: only a higher
-    version replaces the one in force, whoever brings it.
+    Ensures that the configuration never reverts to an older version: only a higher
+    version replaces the one in force, whichever peer or store it comes from.
     """
 
     def __init__(self, log: Log) -> None:
         """
-        Start with none in force.
+        Start without a configuration.
 
-        :param log: where events go.
+        :param log: receives log events.
         """
         self._log = log
         self._subscribers: list[Callable[[], None]] = []
@@ -32,23 +32,23 @@
 
     @property
     def version(self) -> int:
-        """Version in force; 0 for none."""
+        """Version in force; 0 if there is none."""
         return self.accepted.version if self.accepted else 0
 
     def subscribe(self, callback: Callable[[], None]) -> None:
         """
-        Ask to be told of changes.
+        Register a callback for changes.
 
-        :param callback: called after each newer configuration came into force.
+        :param callback: called after each change of the configuration in force.
         """
         self._subscribers.append(callback)
 
     def offer(self, document: bytes) -> bool:
         """
-        Take a document if it is newer.
+        Put a document into force if its version is newer.
 
         :param document: an accepted configuration as JSON.
-        :returns: whether it is now in force.
+        :returns: whether it was put into force.
         """
         try:
             accepted = msgspec.json.decode(document, type=AcceptedConfiguration)
@@ -66,11 +66,11 @@
 
     def offer_patch(self, patch: bytes, version: int, digest: str) -> bool:
         """
-        Take a change to the document in force.
+        Apply a patch to the document in force.
 
         :param patch: JSON merge patch.
-        :param version: that it leads to.
-        :param digest: of the document that it leads to.
+        :param version: version of the patched document.
+        :param digest: digest of the patched document.
         :returns: whether that version, or a newer one, is now in force; if not, the
             whole document is needed.
         """
@@ -78,17 +78,17 @@
             return True
         if version != self.version + 1 or not self.document:
             return False
-        document = patched(self.document, patch)
-        if digest_of(document) != digest:
+        document = apply_patch(self.document, patch)
+        if document_digest(document) != digest:
             return False
         return self.offer(document)
 
     def service(self, name: str) -> ServiceConfiguration | None:
         """
-        Look a service up.
+        Look up a service.
 
         :param name: the service's name.
-        :returns: ``None`` if there is none of that name.
+        :returns: ``None`` if there is no service of that name.
         """
         if self.accepted is None:
             return None
@@ -96,7 +96,7 @@
 
     def claim_partitions(self, service: str) -> int:
         """
-        Tell how many partitions the claims of a service are spread over.
+        Return how many partitions the claims of a service are spread over.
 
         :param service: the service's name.
         """
--- a/pimentolink/configstore.py
+++ b/pimentolink/configstore.py
@@ -1,4 +1,4 @@
-"""The accepted configuration and its history in the key-value service."""
+"""Stores the accepted configuration and its history in the key-value service."""
 
 from __future__ import annotations
 
@@ -18,14 +18,17 @@
 DOCUMENT_PREFIX = "pimentolink/configurations"
 
 
-class Head(Struct, frozen=True, kw_only=True):
+class ConfigurationHead(Struct, frozen=True, kw_only=True):
     """
-    What says which configuration is accepted; small, since every entry watches it.
+    Pointer to the accepted configuration.
+
+    Kept small, since every entry watches its key.
 
     :ivar version: of the accepted configuration.
-    :ivar change_id: names the stored document and recognises its writer.
-    :ivar patch: what changed since the version before, as JSON merge patch.
-    :ivar digest: of the whole document, to tell whether the patch led to it.
+    :ivar change_id: unique identifier of the change; part of the document's key, and
+        lets a writer recognise its own write.
+    :ivar patch: difference from the previous version, as a JSON merge patch.
+    :ivar digest: of the whole document, to verify the result of the patch.
     """
 
     version: int
@@ -35,31 +38,31 @@
 
     @property
     def document_key(self) -> str:
-        """Key of the whole document."""
+        """Key under which the whole document is stored."""
         return f"{DOCUMENT_PREFIX}/{self.change_id}"
 
 
-def digest_of(document: bytes) -> str:
+def document_digest(document: bytes) -> str:
     """
-    Digest a document.
+    Compute the digest of a document.
 
-    :param document: as :func:`encode` wrote it.
+    :param document: encoded by :func:`encode`.
     """
     return xxhash.xxh3_64_hexdigest(document)
 
 
 def encode(accepted: AcceptedConfiguration) -> bytes:
-    """Write an accepted configuration; the same one always in the same bytes."""
+    """Encode an accepted configuration as canonical JSON with sorted keys."""
     return msgspec.json.encode(accepted, order="sorted")
 
 
-def patched(document: bytes, patch: bytes) -> bytes:
+def apply_patch(document: bytes, patch: bytes) -> bytes:
     """
     Apply a patch to a whole document.
 
-    :param document: as :func:`encode` wrote it.
-    :param patch: of a :class:`Head`.
-    :returns: the document that follows it.
+    :param document: encoded by :func:`encode`.
+    :param patch: from a :class:`ConfigurationHead`.
+    :returns: the patched document, encoded by :func:`encode`.
     :source: RFC 7396, JSON Merge Patch.
     """
     before = msgspec.json.decode(document)
@@ -71,14 +74,14 @@
     """
     Reads and replaces the accepted configuration.
 
-    The whole document is stored first, under a key of its own; a change is one
-    compare-and-swap of the small head, so of operators who race only one wins and the
-    others are told against what.
+    A change first stores the whole document under its own key, then swaps the small
+    head by compare-and-swap. Of several concurrent changes only one succeeds; the
+    others get a conflict that names the accepted one.
     """
 
     def __init__(self, store: KeyValueStore) -> None:
         """
-        Bind.
+        Create a store on top of the key-value service.
 
         :param store: the key-value service.
         """
@@ -86,26 +89,26 @@
 
     async def read(self) -> AcceptedConfiguration | None:
         """
-        Read what is accepted now.
+        Read the accepted configuration.
 
-        :returns: ``None`` if nothing has been yet.
-        :raises KeyValueUnavailable: without an answer.
+        :returns: ``None`` if none has been accepted yet.
+        :raises KeyValueUnavailable: if the service does not answer.
         """
-        head, _ = await self._head()
-        return await self._document(head.change_id) if head is not None else None
+        head, _ = await self._read_head()
+        return await self._read_document(head.change_id) if head is not None else None
 
     async def history(self, most: int) -> list[AcceptedConfiguration]:
         """
         Read accepted configurations, the newest first.
 
-        :param most: at most so many.
-        :raises KeyValueUnavailable: without an answer.
+        :param most: maximum number of versions to return.
+        :raises KeyValueUnavailable: if the service does not answer.
         """
         versions: list[AcceptedConfiguration] = []
         accepted = await self.read()
         while accepted is not None and len(versions) < most:
             versions.append(accepted)
-            accepted = await self._document(accepted.previous)
+            accepted = await self._read_document(accepted.previous)
         return versions
 
     async def replace(
@@ -117,20 +120,23 @@
         applied_at: str,
     ) -> Result[AcceptedConfiguration, ConfigurationConflict | KeyValueUnavailable]:
         """
-        Put a configuration into force.
+        Replace the accepted configuration.
 
-        :param configuration: checked.
-        :param against: version it was made against; 0 for none.
-        :param change_id: unique identity of the change.
+        :param configuration: a valid configuration.
+        :param against: version that it is based on; 0 if there is none yet.
+        :param change_id: unique identifier of the change.
         :param author: who applies it.
         :param applied_at: when, as ISO 8601.
-        :returns: what was accepted; or who came first; or that the service gave no
-            answer and could not be asked what became of the write.
+        :returns: the accepted configuration; or a conflict with a concurrent change;
+            or an error if the service did not answer the write and reading back did
+            not show its outcome.
         """
-        head, revision = await self._head()
-        current = await self._document(head.change_id) if head is not None else None
+        head, revision = await self._read_head()
+        current = (
+            await self._read_document(head.change_id) if head is not None else None
+        )
         if current is not None and current.version != against:
-            return Err(_conflict(current))
+            return Err(_conflict_error(current))
         if current is None and against != 0:
             return Err(ConfigurationConflict(0, "nobody", "none"))
         accepted = AcceptedConfiguration(
@@ -141,7 +147,7 @@
             applied_at=applied_at,
             configuration=configuration,
         )
-        new_head = _head_of(current, accepted)
+        new_head = _make_head(current, accepted)
         document = encode(accepted)
         await self._store.compare_and_swap(new_head.document_key, document, 0)
         data = msgspec.json.encode(new_head)
@@ -150,18 +156,18 @@
                 CONFIGURATION_KEY, data, revision
             )
         except KeyValueUnavailable as error:
-            return await self._find_own_change(accepted, error)
+            return await self._verify_write(accepted, error)
         if written is None:
-            return await self._lost_against()
+            return await self._conflict_with_current()
         return Ok(accepted)
 
-    async def _head(self) -> tuple[Head | None, int]:
+    async def _read_head(self) -> tuple[ConfigurationHead | None, int]:
         value = await self._store.get(CONFIGURATION_KEY)
         if value.data is None:
             return None, 0
-        return msgspec.json.decode(value.data, type=Head), value.revision
+        return msgspec.json.decode(value.data, type=ConfigurationHead), value.revision
 
-    async def _document(self, change_id: str) -> AcceptedConfiguration | None:
+    async def _read_document(self, change_id: str) -> AcceptedConfiguration | None:
         if not change_id:
             return None
         value = await self._store.get(f"{DOCUMENT_PREFIX}/{change_id}")
@@ -169,40 +175,40 @@
             return None
         return msgspec.json.decode(value.data, type=AcceptedConfiguration)
 
-    async def _lost_against(
+    async def _conflict_with_current(
         self,
     ) -> Result[AcceptedConfiguration, ConfigurationConflict | KeyValueUnavailable]:
         winner = await self.read()
         assert winner is not None
-        return Err(_conflict(winner))
+        return Err(_conflict_error(winner))
 
-    async def _find_own_change(
+    async def _verify_write(
         self, wanted: AcceptedConfiguration, error: KeyValueUnavailable
     ) -> Result[AcceptedConfiguration, ConfigurationConflict | KeyValueUnavailable]:
-        """Read back whether a write without an answer took effect."""
+        """Read back whether a write that got no answer took effect."""
         try:
             for found in await self.history(wanted.version):
                 if found.change_id == wanted.change_id:
                     return Ok(found)
                 if found.version == wanted.version:
-                    return Err(_conflict(found))
+                    return Err(_conflict_error(found))
         except KeyValueUnavailable as second:
             return Err(second)
         return Err(error)
 
 
-def _head_of(
+def _make_head(
     current: AcceptedConfiguration | None, accepted: AcceptedConfiguration
-) -> Head:
+) -> ConfigurationHead:
     before: Any = msgspec.to_builtins(current) if current is not None else {}
     patch = json_merge_patch.create_patch(before, msgspec.to_builtins(accepted))
-    return Head(
+    return ConfigurationHead(
         version=accepted.version,
         change_id=accepted.change_id,
         patch=msgspec.Raw(msgspec.json.encode(patch)),
-        digest=digest_of(encode(accepted)),
+        digest=document_digest(encode(accepted)),
     )
 
 
-def _conflict(winner: AcceptedConfiguration) -> ConfigurationConflict:
+def _conflict_error(winner: AcceptedConfiguration) -> ConfigurationConflict:
     return ConfigurationConflict(winner.version, winner.author, winner.change_id)
--- a/pimentolink/daemon.py
+++ b/pimentolink/daemon.py
@@ -1,4 +1,4 @@
-"""Runs an entry or a sidecar as a process, with sockets, on one loop and thread."""
+"""Runs an entry or a sidecar as a single-threaded process with real sockets."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 
 
 class EntryDaemon:
-    """An entry with its sockets."""
+    """An entry with its listening socket and network clients."""
 
     def __init__(self, reactor: Any, settings: EntrySettings) -> None:
         """
-        Open nothing yet.
+        Create an entry without opening sockets yet.
 
-        :param reactor: the loop.
-        :param settings: of the entry.
+        :param reactor: the Twisted reactor.
+        :param settings: settings of the entry.
         """
         self._reactor = reactor
         self._settings = settings
@@ -53,7 +53,7 @@
         self._entry = Entry(settings, ports)
 
     async def start(self) -> None:
-        """Listen to callers and begin."""
+        """Listen for callers and start the entry."""
         interface = CallerInterface(
             self._entry, self._settings.limits, self._timers, self._settings.shared_key
         )
@@ -70,7 +70,7 @@
         self._entry.start()
 
     async def stop(self) -> None:
-        """Leave, take no more connections, finish."""
+        """Register as leaving, stop listening, then finish requests in flight."""
         await self._entry.leave()
         await self._port.stopListening()
         await self._entry.finish()
@@ -88,14 +88,14 @@
 
 
 class SidecarDaemon:
-    """A sidecar with its sockets."""
+    """A sidecar with its listening socket and network clients."""
 
     def __init__(self, reactor: Any, settings: SidecarSettings) -> None:
         """
-        Open nothing yet.
+        Create a sidecar without opening sockets yet.
 
-        :param reactor: the loop.
-        :param settings: of the sidecar.
+        :param reactor: the Twisted reactor.
+        :param settings: settings of the sidecar.
         """
         self._reactor = reactor
         self._settings = settings
@@ -109,23 +109,23 @@
             target=target,
             engine=HttpEngineControl(target, settings.orders),
             open_older_system=self._open_target,
-            listening=self._listening,
+            listening=self._make_link_server,
             incarnation=uuid4().hex,
         )
         self._sidecar = Sidecar(settings, ports)
 
     async def start(self) -> bool:
-        """Take the target's slot; tell whether it was free."""
+        """Listen on the target's slot; return whether it was free."""
         return self._sidecar.start()
 
     async def stop(self) -> None:
-        """Finish and leave."""
+        """Finish running work and deregister."""
         await self._sidecar.stop()
 
     def _open_target(self, address: str) -> HttpTarget:
         return HttpTarget(self._reactor, address, self._settings.target_timeout)
 
-    def _listening(self, listener: SidecarLinkListener) -> LinkServer:
+    def _make_link_server(self, listener: SidecarLinkListener) -> LinkServer:
         return LinkServer(
             self._reactor,
             self._settings.shared_key,
@@ -140,7 +140,7 @@
     """
     Run a service until SIGTERM or SIGINT, then stop it gracefully.
 
-    :param make_service: makes the service on a reactor.
+    :param make_service: creates the service for a reactor.
     :returns: the process's exit code.
     """
     loop = asyncio.new_event_loop()
--- a/pimentolink/entry.py
+++ b/pimentolink/entry.py
@@ -1,4 +1,4 @@
-"""The entry: takes callers' requests and sends them to targets; opens no sockets."""
+"""The entry: routes callers' requests to targets; opens no sockets itself."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from pimentolink import link_pb2
 from pimentolink.adoption import Adoption
 from pimentolink.breaker import BreakerStore
-from pimentolink.configstore import CONFIGURATION_KEY, Head
+from pimentolink.configstore import CONFIGURATION_KEY, ConfigurationHead
 from pimentolink.directory import TargetDirectory
 from pimentolink.dispatcher import Dispatcher
 from pimentolink.follower import KeyFollower
@@ -31,43 +31,44 @@
 from pimentolink.timers import Repeater, Timers, pause
 from pimentolink.tracing import Tracing
 
-IDLE_POLL = 0.05
-SWEEP_INTERVAL = 1.0
+IDLE_POLL_INTERVAL = 0.05
+STALL_CHECK_INTERVAL = 1.0
 
 
-class OpenLink(EntryLink, Protocol):
-    """A link that attaches by itself until it is closed."""
+class ReconnectingLink(EntryLink, Protocol):
+    """A link that reconnects by itself until it is closed."""
 
     address: str
 
     def close(self) -> None:
-        """End the link for good."""
+        """Close the link and stop reconnecting."""
 
 
 class EntryPorts(NamedTuple):
     """
-    What an entry needs from outside; real in the daemon, in memory elsewhere.
+    External dependencies of an entry, with real and in-memory implementations.
 
-    :ivar open_link: starts a link to a sidecar's address.
-    :ivar incarnation: identity of this process's life; also seeds its random source.
+    :ivar open_link: opens a link to a sidecar's address.
+    :ivar incarnation: unique identifier of this run of the process; also seeds its
+        random source.
     """
 
     timers: Timers
     store: KeyValueStore
     instances: InstanceList
-    open_link: Callable[[str, EntryLinkListener], OpenLink]
+    open_link: Callable[[str, EntryLinkListener], ReconnectingLink]
     incarnation: str
 
 
 class Entry:
-    """One entry: wires the parts and answers its links."""
+    """An entry: connects its components and handles messages of its links."""
 
     def __init__(self, settings: EntrySettings, ports: EntryPorts) -> None:
         """
-        Wire the parts; :meth:`start` begins.
+        Create the components; :meth:`start` begins.
 
-        :param settings: of this entry.
-        :param ports: to the world outside.
+        :param settings: settings of this entry.
+        :param ports: external dependencies.
         """
         self._settings = settings
         self._ports = ports
@@ -80,15 +81,13 @@
         self.metrics = Metrics()
         self.tracing = Tracing(settings.instance, settings.trace_ratio, self.log)
         self.adoption = Adoption(self.log)
-        self._follower = self._make_follower(
-            CONFIGURATION_KEY, self._configuration_came
-        )
-        self._head: Head | None = None
+        self._follower = self._make_follower(CONFIGURATION_KEY, self._head_received)
+        self._head: ConfigurationHead | None = None
         self._plan_followers: dict[Group, KeyFollower] = {}
         self._plan_by_group: dict[Group, tuple[Plan, int]] = {}
-        memory = PrefixMemory(settings.routing.prefixes_kept)
+        prefix_memory = PrefixMemory(settings.routing.prefixes_kept)
         policy = make_policy(
-            settings.routing, settings.data_centre, memory, self._random
+            settings.routing, settings.data_centre, prefix_memory, self._random
         )
         router = Router(policy)
         self.directory = TargetDirectory(self.adoption, router, self._timers)
@@ -97,7 +96,7 @@
             self.adoption,
             self.directory,
             router,
-            memory,
+            prefix_memory,
             self._timers,
             self.tracing,
             self.log,
@@ -115,29 +114,29 @@
             self.log,
         )
         self.adoption.subscribe(self._configuration_adopted)
-        self._link_by_sidecar: dict[str, OpenLink] = {}
+        self._link_by_sidecar: dict[str, ReconnectingLink] = {}
         self._hello_by_link: dict[EntryLink, link_pb2.SidecarHello] = {}
-        self._list_is_lost = False
-        self._poll: Repeater | None = None
-        self._sweep: Repeater | None = None
+        self._is_list_lost = False
+        self._list_poller: Repeater | None = None
+        self._stall_checker: Repeater | None = None
         self.is_stopping = False
         self._publish_gauges()
 
     def start(self) -> None:
-        """Follow the configuration and look for sidecars."""
+        """Follow the configuration, open links to sidecars and start planning."""
         self._follower.start()
         self._planner.start()
-        self._read_list()
+        self._read_sidecars()
         interval = self._settings.platform.list_interval
-        self._poll = Repeater(self._timers, interval, self._read_list)
-        self._sweep = Repeater(
-            self._timers, SWEEP_INTERVAL, self.dispatcher.move_stalled
+        self._list_poller = Repeater(self._timers, interval, self._read_sidecars)
+        self._stall_checker = Repeater(
+            self._timers, STALL_CHECK_INTERVAL, self.dispatcher.move_stalled
         )
         self._register(is_leaving=False)
         self.log.write(LogEvent.STARTED, address=self._settings.listen)
 
     async def leave(self) -> None:
-        """Leave the list and give the balancer time to notice; still take requests."""
+        """Register as leaving, then keep serving while load balancers take notice."""
         self.is_stopping = True
         self._planner.stop()
         self._register(is_leaving=True)
@@ -145,18 +144,18 @@
         await pause(self._timers, self._settings.leave_delay)
 
     async def finish(self) -> None:
-        """Finish what is in work, then end all links."""
+        """Wait for requests in flight, then close all links and deregister."""
         await self._finish_work()
-        for repeater in (self._poll, self._sweep):
+        for repeater in (self._list_poller, self._stall_checker):
             if repeater is not None:
                 repeater.cancel()
         for follower in (self._follower, *self._plan_followers.values()):
             follower.stop()
         for link in self._link_by_sidecar.values():
             link.close()
-        # The list drops an instance that is gone by itself, only later.
-        left = self._ports.instances.deregister(self._settings.instance)
-        await left.addErrback(lambda _: None)
+        # A failure is ignored: the list itself removes instances that are gone, later.
+        pending = self._ports.instances.deregister(self._settings.instance)
+        await pending.addErrback(lambda _: None)
         self.log.write(LogEvent.STOPPED)
 
     async def _finish_work(self) -> None:
@@ -166,7 +165,7 @@
                 left = self.dispatcher.in_flight
                 self.log.write(LogEvent.STOP_TIMEOUT, in_flight=left)
                 return
-            await pause(self._timers, IDLE_POLL)
+            await pause(self._timers, IDLE_POLL_INTERVAL)
 
     def status(self) -> dict[str, Any]:
         """Describe the entry for operators."""
@@ -185,7 +184,7 @@
         }
 
     def greeting(self) -> link_pb2.EntryHello:
-        """Make the first message of a link."""
+        """Build the message that opens a link."""
         return link_pb2.EntryHello(
             instance_id=self._settings.instance,
             incarnation=self._ports.incarnation,
@@ -194,34 +193,34 @@
         )
 
     def link_up(self, link: EntryLink, hello: link_pb2.SidecarHello) -> None:
-        """Take a sidecar's target into routing; bring it up to date."""
+        """Start routing to a sidecar's target; send newer configuration and plans."""
         self.log.write(LogEvent.LINK_UP, target=hello.target_id)
         self._hello_by_link[link] = hello
         self.directory.add(link, hello.target_id, hello.data_centre)
         if hello.configuration_version < self.adoption.version:
-            link.send(self._document())
-        self._tell_plan(link, hello.target_id)
+            link.send(self._document_message())
+        self._send_plan_news(link, hello.target_id)
 
     def link_message(self, link: EntryLink, message: link_pb2.SidecarMessage) -> None:
-        """Handle a message of a sidecar."""
+        """Handle a message from a sidecar."""
         kind = message.WhichOneof("body")
         if kind == "step":
             if message.step.HasField("load"):
-                self._load_came(link, message.step.load)
+                self._load_received(link, message.step.load)
             self.dispatcher.step_received(message.step)
         elif kind == "load":
-            self._load_came(link, message.load)
+            self._load_received(link, message.load)
         elif kind == "document":
             self.adoption.offer(message.document.json)
         elif kind == "document_wanted":
-            link.send(self._document())
+            link.send(self._document_message())
 
-    def _load_came(self, link: EntryLink, load: link_pb2.Load) -> None:
+    def _load_received(self, link: EntryLink, load: link_pb2.Load) -> None:
         if self.directory.reported(link, load):
             self.dispatcher.change_ended()
 
     def link_down(self, link: EntryLink) -> None:
-        """Take a sidecar's target out of routing."""
+        """Stop routing to a sidecar's target."""
         hello = self._hello_by_link.pop(link)
         self.log.write(LogEvent.LINK_DOWN, target=hello.target_id)
         lost = self.directory.remove(link)
@@ -241,31 +240,31 @@
             on_value,
         )
 
-    def _configuration_came(self, value: Value) -> None:
+    def _head_received(self, value: Value) -> None:
         if value.data is None:
             return
-        head = msgspec.json.decode(value.data, type=Head)
+        head = msgspec.json.decode(value.data, type=ConfigurationHead)
         self._head = head
         if not self.adoption.offer_patch(bytes(head.patch), head.version, head.digest):
-            whole = self._store.get(head.document_key)
-            whole.addCallbacks(self._document_came, self._document_failed)
+            pending = self._store.get(head.document_key)
+            pending.addCallbacks(self._document_received, self._document_failed)
 
-    def _document_came(self, value: Value) -> None:
+    def _document_received(self, value: Value) -> None:
         if value.data is not None:
             self.adoption.offer(value.data)
 
     def _document_failed(self, failure: object) -> None:
-        # The follower asks for the head again and again, so this is tried again too.
-        self._follower.forget()
+        # Reading the head again also retries the document.
+        self._follower.schedule_read()
 
     def _configuration_adopted(self) -> None:
-        message = self._change()
+        message = self._change_message()
         for link in self._hello_by_link:
             link.send(message)
         self._follow_plans()
 
     def _follow_plans(self) -> None:
-        """Follow the plans of this region's groups, and no others."""
+        """Watch the plans of this region's groups and stop watching all others."""
         assert self.adoption.accepted is not None
         configuration = self.adoption.accepted.configuration
         region = configuration.region_of(self._settings.data_centre)
@@ -275,18 +274,18 @@
             self._plan_by_group.pop(group, None)
         for group in wanted - self._plan_followers.keys():
             follower = self._make_follower(
-                group.plan_key, partial(self._plan_came, group)
+                group.plan_key, partial(self._plan_received, group)
             )
             self._plan_followers[group] = follower
             follower.start()
 
-    def _plan_came(self, group: Group, value: Value) -> None:
+    def _plan_received(self, group: Group, value: Value) -> None:
         self._plan_by_group[group] = (decode_plan(value.data), value.revision)
         for link, hello in self._hello_by_link.items():
-            self._tell_plan(link, hello.target_id)
+            self._send_plan_news(link, hello.target_id)
 
-    def _tell_plan(self, link: EntryLink, target_id: str) -> None:
-        """Tell a sidecar of a plan that wants something new of its target."""
+    def _send_plan_news(self, link: EntryLink, target_id: str) -> None:
+        """Notify a sidecar of plans with changes that its target has not reached."""
         target = self.directory.target(target_id)
         if target is None:
             return
@@ -299,30 +298,32 @@
             )
             link.send(link_pb2.EntryMessage(plan_news=news))
 
-    def _document(self) -> link_pb2.EntryMessage:
+    def _document_message(self) -> link_pb2.EntryMessage:
         document = link_pb2.Document(
             version=self.adoption.version, json=self.adoption.document
         )
         return link_pb2.EntryMessage(document=document)
 
-    def _change(self) -> link_pb2.EntryMessage:
-        """Tell what changed, or all of it if that is not known here."""
+    def _change_message(self) -> link_pb2.EntryMessage:
+        """Build a message with the patch if it is known, else the whole document."""
         head = self._head
         if head is None or head.version != self.adoption.version:
-            return self._document()
+            return self._document_message()
         document = link_pb2.Document(
             version=head.version, patch=bytes(head.patch), digest=head.digest
         )
         return link_pb2.EntryMessage(document=document)
 
-    def _read_list(self) -> None:
+    def _read_sidecars(self) -> None:
         self._ports.instances.read(SIDECAR).addCallbacks(
-            self._list_came, self._list_failed
+            self._instances_received, self._instance_list_failed
         )
 
-    def _list_came(self, instances: list[Instance]) -> None:
-        self._list_is_lost = False
-        wanted = {instance.name: instance for instance in self._chosen(instances)}
+    def _instances_received(self, instances: list[Instance]) -> None:
+        self._is_list_lost = False
+        wanted = {
+            instance.name: instance for instance in self._choose_sidecars(instances)
+        }
         for name in self._link_by_sidecar.keys() - wanted:
             self._link_by_sidecar.pop(name).close()
         for name, instance in wanted.items():
@@ -334,21 +335,21 @@
                 opened = self._ports.open_link(instance.address, self)
                 self._link_by_sidecar[name] = opened
 
-    def _chosen(self, instances: list[Instance]) -> list[Instance]:
-        """Choose the sidecars to attach to: the same each time, near ones first."""
+    def _choose_sidecars(self, instances: list[Instance]) -> list[Instance]:
+        """Choose the sidecars to link to, deterministically, local ones first."""
         most = self._settings.links.most_links
         if len(instances) <= most:
             return instances
 
-        def order(instance: Instance) -> tuple[bool, int]:
+        def sort_key(instance: Instance) -> tuple[bool, int]:
             is_far = instance.data_centre != self._settings.data_centre
             return is_far, ring_hash(f"{self._settings.instance}/{instance.name}")
 
-        return sorted(instances, key=order)[:most]
+        return sorted(instances, key=sort_key)[:most]
 
-    def _list_failed(self, failure: object) -> None:
-        if not self._list_is_lost:
-            self._list_is_lost = True
+    def _instance_list_failed(self, failure: object) -> None:
+        if not self._is_list_lost:
+            self._is_list_lost = True
             self.log.write(LogEvent.LIST_LOST)
 
     def _register(self, is_leaving: bool) -> None:
@@ -360,7 +361,7 @@
             target="",
             is_leaving=is_leaving,
         )
-        self._ports.instances.register(instance).addErrback(self._list_failed)
+        self._ports.instances.register(instance).addErrback(self._instance_list_failed)
 
     def _publish_gauges(self) -> None:
         dispatcher = self.dispatcher
--- a/pimentolink/follower.py
+++ b/pimentolink/follower.py
@@ -1,4 +1,4 @@
-"""Follows one key of the key-value service through outages."""
+"""Watches a key of the key-value service and reconnects after outages."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class KeyFollower:
-    """Keeps one watch on a key and tells each value, with growing pauses in outages."""
+    """Watches a key, reports each value and retries failures with backoff."""
 
     def __init__(
         self,
@@ -30,15 +30,15 @@
         on_value: Callable[[Value], object],
     ) -> None:
         """
-        Prepare; :meth:`start` begins.
+        Create a follower; :meth:`start` sends the first request.
 
-        :param key: what to follow.
+        :param key: the key to watch.
         :param store: the key-value service.
-        :param settings: patience and pauses.
+        :param settings: duration of a watch, backoff delays.
         :param timers: the timer service.
         :param random: seeded source for jitter.
-        :param log: where events go.
-        :param on_value: called with each value that is present.
+        :param log: receives log events.
+        :param on_value: called with each value read, unless the key is absent.
         """
         self._key = key
         self._store = store
@@ -54,22 +54,22 @@
 
     def start(self) -> None:
         """Read the key, then watch it."""
-        self._ask()
+        self._request_value()
 
-    def forget(self) -> None:
-        """Read the key again soon, though it has not changed."""
+    def schedule_read(self) -> None:
+        """Read the key again after a backoff delay, even if it has not changed."""
         self._index = 0
         if self._pending is not None:
             self._pending.cancel()
-        self._timers.call_later(self._backoff.next(), self._ask)
+        self._timers.call_later(self._backoff.next(), self._request_value)
 
     def stop(self) -> None:
-        """Watch no more."""
+        """Stop watching and cancel the pending request."""
         self._is_stopped = True
         if self._pending is not None:
             self._pending.cancel()
 
-    def _ask(self) -> None:
+    def _request_value(self) -> None:
         if self._is_stopped:
             return
         if self._index == 0:
@@ -77,26 +77,26 @@
         else:
             wait = self._settings.watch_wait
             self._pending = self._store.watch(self._key, self._index, wait)
-        self._pending.addCallbacks(self._came, self._failed)
+        self._pending.addCallbacks(self._value_received, self._read_failed)
 
-    def _came(self, value: Value) -> None:
+    def _value_received(self, value: Value) -> None:
         self._set_connected(True)
         self._backoff.reset()
-        # A service that was set up anew counts from the start again.
-        went_back = value.service_index < self._index
-        self._index = 0 if went_back else value.service_index
+        # A service that was set up anew restarts its index, so the key is read again.
+        index_was_reset = value.service_index < self._index
+        self._index = 0 if index_was_reset else value.service_index
         if value.data is not None:
             self._on_value(value)
         if self._index == 0:
-            self._timers.call_later(self._backoff.next(), self._ask)
+            self._timers.call_later(self._backoff.next(), self._request_value)
         else:
-            self._ask()
+            self._request_value()
 
-    def _failed(self, failure: TwistedFailure) -> None:
+    def _read_failed(self, failure: TwistedFailure) -> None:
         if self._is_stopped or failure.check(CancelledError):
             return
         self._set_connected(False)
-        self._timers.call_later(self._backoff.next(), self._ask)
+        self._timers.call_later(self._backoff.next(), self._request_value)
 
     def _set_connected(self, is_connected: bool) -> None:
         if is_connected == self.is_connected:
--- a/pimentolink/instances.py
+++ b/pimentolink/instances.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving instances."""
+"""Clients of the platform's list of registered instances."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 class Instance(NamedTuple):
     """
-    One process on the list.
+    A registered process.
 
     :ivar role: ``SIDECAR`` or ``ENTRY``.
     :ivar target: the sidecar's target; empty for an entry.
-    :ivar is_leaving: whether it takes no new work.
+    :ivar is_leaving: whether it is shutting down and takes no new work.
     """
 
     name: str
@@ -33,27 +33,27 @@
 
 
 class InstanceList(Protocol):
-    """What the system needs of the list."""
+    """Interface of the instance list."""
 
     def read(self, role: str) -> Deferred[list[Instance]]:
         """
-        Read the instances of a role; late by the list's lag.
+        Read the instances of a role; the result may be stale by the list's lag.
 
-        :raises KeyValueUnavailable: without an answer.
+        :raises KeyValueUnavailable: if the list does not answer.
         """
 
     def register(self, instance: Instance) -> Deferred[None]:
-        """Put an instance on the list or change it there."""
+        """Register an instance or update its registration."""
 
     def deregister(self, name: str) -> Deferred[None]:
-        """Take an instance off the list."""
+        """Remove an instance from the list."""
 
 
 class MemoryInstanceList:
-    """The list's twin in memory, without lag."""
+    """In-memory implementation without lag."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty list."""
         self.instances_by_name: dict[str, Instance] = {}
 
     def read(self, role: str) -> Deferred[list[Instance]]:
@@ -62,18 +62,18 @@
         return succeed([item for item in instances if item.role == role])
 
     def register(self, instance: Instance) -> Deferred[None]:
-        """Put an instance on the list or change it there."""
+        """Register an instance or update its registration."""
         self.instances_by_name[instance.name] = instance
         return succeed(None)
 
     def deregister(self, name: str) -> Deferred[None]:
-        """Take an instance off the list."""
+        """Remove an instance from the list."""
         self.instances_by_name.pop(name, None)
         return succeed(None)
 
 
-class _Meta(msgspec.Struct):
-    """What the system keeps with a registration."""
+class _RegistrationMeta(msgspec.Struct):
+    """Metadata that is stored with a registration."""
 
     data_centre: str = ""
     target: str = ""
@@ -89,27 +89,27 @@
         "meta": "ServiceMeta",
     },
 ):
-    """One element of the list's answer."""
+    """One element of the response to a read."""
 
     name: str
     address: str
     port: int
-    meta: _Meta
+    meta: _RegistrationMeta
 
 
 class HttpInstanceList:
     """
-    The list over its HTTP interface.
+    Client of the list's HTTP interface.
 
     :source: Consul catalogue and agent HTTP API.
     """
 
     def __init__(self, reactor: Any, settings: PlatformSettings) -> None:
         """
-        Prepare calls; none is made yet.
+        Create a client; no request is sent yet.
 
-        :param reactor: the loop.
-        :param settings: address and patience.
+        :param reactor: the Twisted reactor.
+        :param settings: address and timeout.
         """
         self._settings = settings
         self._client = HttpClient(reactor, settings.timeout)
@@ -119,7 +119,7 @@
         return Deferred.fromCoroutine(self._read(role))
 
     def register(self, instance: Instance) -> Deferred[None]:
-        """Put an instance on the list or change it there."""
+        """Register an instance or update its registration."""
         host, port = split_address(instance.address)
         body = {
             "ID": instance.name,
@@ -136,7 +136,7 @@
         return Deferred.fromCoroutine(self._write(path, msgspec.json.encode(body)))
 
     def deregister(self, name: str) -> Deferred[None]:
-        """Take an instance off the list."""
+        """Remove an instance from the list."""
         path = f"/v1/agent/service/deregister/{name}"
         return Deferred.fromCoroutine(self._write(path, b""))
 
--- a/pimentolink/kvstore.py
+++ b/pimentolink/kvstore.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service, as the system uses it."""
+"""Clients of the platform's key-value service."""
 
 from __future__ import annotations
 
@@ -16,11 +16,12 @@
 
 class Value(NamedTuple):
     """
-    A value as read.
+    Result of reading a key.
 
-    :ivar data: the bytes; ``None`` if the key is absent.
-    :ivar revision: compare-and-swap counter of the key; 0 if absent.
-    :ivar service_index: counter of the service that a watch waits beyond.
+    :ivar data: the value; ``None`` if the key is absent.
+    :ivar revision: revision of the key for compare-and-swap; 0 if absent.
+    :ivar service_index: change counter of the service; a watch that is given it waits
+        for a later change.
     """
 
     data: bytes | None
@@ -29,52 +30,55 @@
 
 
 class KeyValueStore(Protocol):
-    """What the system needs of the service; every call counts for its limits."""
+    """Interface of the service; every call counts towards its rate limits."""
 
     def get(self, key: str) -> Deferred[Value]:
         """
         Read a key.
 
-        :raises KeyValueUnavailable: without an answer.
+        :raises KeyValueUnavailable: if the service does not answer.
         """
 
     def watch(self, key: str, index: int, wait: float) -> Deferred[Value]:
         """
-        Read a key once it has changed.
+        Wait until a key changes, then read it.
 
-        :param index: as of the last reading.
-        :param wait: seconds after which it answers unchanged.
-        :raises KeyValueUnavailable: without an answer.
+        :param index: ``service_index`` of the last value read.
+        :param wait: seconds after which the unchanged value is returned.
+        :raises KeyValueUnavailable: if the service does not answer.
         """
 
     def compare_and_swap(
         self, key: str, data: bytes, revision: int
     ) -> Deferred[int | None]:
         """
-        Write a key if it still has a revision.
+        Write a key if its revision has not changed.
 
-        :param revision: as last read; 0 demands that the key is absent.
+        :param revision: as last read; 0 requires that the key is absent.
         :returns: the new revision, or ``None`` if another write came first.
-        :raises KeyValueUnavailable: without an answer; the write may have been made.
+        :raises KeyValueUnavailable: if the service does not answer; the write may
+            have taken effect all the same.
         """
 
     def hold_lease(self, key: str, holder: str, seconds: float) -> Deferred[bool]:
         """
-        Take or renew a lease, which spares work but never decides anything.
+        Acquire or renew a lease.
 
-        :param key: what is leased.
+        Leases only avoid duplicate work; correctness rests on compare-and-swap.
+
+        :param key: key of the lease.
         :param holder: incarnation of the process.
-        :param seconds: after which it lapses unless renewed.
-        :returns: whether this process holds it.
-        :raises KeyValueUnavailable: without an answer.
+        :param seconds: time after which the lease expires unless renewed.
+        :returns: whether this process holds the lease.
+        :raises KeyValueUnavailable: if the service does not answer.
         """
 
 
 class MemoryStore:
-    """The service's twin in memory, with its faults, for tests and embedding."""
+    """In-memory implementation with fault injection, for tests and embedding."""
 
     def __init__(self) -> None:
-        """Start empty, answering."""
+        """Create an empty store that is up."""
         self.calls = 0
         self.is_down = False
         self.answers_to_lose = 0
@@ -87,14 +91,14 @@
         """Read a key."""
         self.calls += 1
         if self.is_down:
-            return _failed()
+            return _unavailable()
         return succeed(self._read(key))
 
     def watch(self, key: str, index: int, wait: float) -> Deferred[Value]:
-        """Read a key once it has changed; ``wait`` is not kept here."""
+        """Wait until a key changes, then read it; ``wait`` is ignored."""
         self.calls += 1
         if self.is_down:
-            return _failed()
+            return _unavailable()
         value = self._read(key)
         if value.service_index > index:
             return succeed(value)
@@ -108,32 +112,32 @@
         """Write a key if it still has ``revision``."""
         self.calls += 1
         if self.is_down:
-            return _failed()
+            return _unavailable()
         swapped = self._read(key).revision == revision
         if swapped:
             self._index += 1
             self._value_by_key[key] = Value(data, self._index, self._index)
-            self._wake(key)
+            self._notify_watchers(key)
         if self.answers_to_lose:
             self.answers_to_lose -= 1
-            return _failed()
+            return _unavailable()
         return succeed(self._index if swapped else None)
 
     def hold_lease(self, key: str, holder: str, seconds: float) -> Deferred[bool]:
-        """Take a lease, which lasts here until :meth:`lapse`."""
+        """Acquire a lease, which lasts until :meth:`lapse`."""
         self.calls += 1
         if self.is_down:
-            return _failed()
+            return _unavailable()
         return succeed(self._holder_by_key.setdefault(key, holder) == holder)
 
     def lapse(self, holder: str) -> None:
-        """Let the leases of a holder run out."""
-        for key, held_by in list(self._holder_by_key.items()):
-            if held_by == holder:
+        """Expire the leases of a holder."""
+        for key, lease_holder in list(self._holder_by_key.items()):
+            if lease_holder == holder:
                 del self._holder_by_key[key]
 
     def set_down(self, is_down: bool) -> None:
-        """Begin or end an outage; watches that wait fail with it."""
+        """Begin or end an outage; pending watches fail when it begins."""
         self.is_down = is_down
         if is_down:
             watchers, self._watchers = self._watchers, []
@@ -143,34 +147,34 @@
     def _read(self, key: str) -> Value:
         return self._value_by_key.get(key, Value(None, 0, 0))
 
-    def _wake(self, key: str) -> None:
-        woken = [watcher for watcher in self._watchers if watcher[0] == key]
+    def _notify_watchers(self, key: str) -> None:
+        notified = [watcher for watcher in self._watchers if watcher[0] == key]
         self._watchers = [watcher for watcher in self._watchers if watcher[0] != key]
-        for _, _, pending in woken:
+        for _, _, pending in notified:
             pending.callback(self._read(key))
 
 
-def _failed() -> Deferred[Any]:
+def _unavailable() -> Deferred[Any]:
     pending: Deferred[Any] = Deferred()
     pending.errback(KeyValueUnavailable("down"))
     return pending
 
 
 class _ConsulValue(msgspec.Struct, rename="pascal"):
-    """One element of the service's answer to a read."""
+    """One element of the response to a read."""
 
     value: str | None
     modify_index: int
 
 
 class _ConsulSession(msgspec.Struct, rename={"id": "ID"}):
-    """A session of the service, which leases hang on."""
+    """A session of the service, which owns leases."""
 
     id: str
 
 
-class _ConsulWritten(msgspec.Struct, rename="pascal"):
-    """What the service tells of a key that it wrote."""
+class _ConsulWrite(msgspec.Struct, rename="pascal"):
+    """Revision of a key that a transaction wrote."""
 
     modify_index: int
 
@@ -178,18 +182,18 @@
 class _ConsulResult(msgspec.Struct, rename={"kv": "KV"}):
     """One result of a transaction."""
 
-    kv: _ConsulWritten
+    kv: _ConsulWrite
 
 
 class _ConsulTransaction(msgspec.Struct, rename="pascal"):
-    """The service's answer to a transaction that was made."""
+    """The response to a committed transaction."""
 
     results: list[_ConsulResult]
 
 
 class HttpStore:
     """
-    The service over its HTTP interface.
+    Client of the service's HTTP interface.
 
     :source: Consul KV HTTP API: ``/v1/kv`` with blocking queries by ``index``,
         ``/v1/txn`` with ``cas``, ``/v1/session`` and ``acquire`` for leases.
@@ -197,10 +201,10 @@
 
     def __init__(self, reactor: Any, settings: PlatformSettings) -> None:
         """
-        Prepare calls; none is made yet.
+        Create a client; no request is sent yet.
 
-        :param reactor: the loop.
-        :param settings: address and patience.
+        :param reactor: the Twisted reactor.
+        :param settings: address and timeout.
         """
         self._settings = settings
         self._client = HttpClient(reactor, settings.timeout)
@@ -212,7 +216,7 @@
         return Deferred.fromCoroutine(self._read(key, "", self._settings.timeout))
 
     def watch(self, key: str, index: int, wait: float) -> Deferred[Value]:
-        """Read a key once it has changed."""
+        """Wait until a key changes, then read it."""
         query = f"?index={index}&wait={wait:g}s"
         patience = wait + self._settings.timeout
         return Deferred.fromCoroutine(self._read(key, query, patience))
@@ -224,8 +228,8 @@
         return Deferred.fromCoroutine(self._swap(key, data, revision))
 
     def hold_lease(self, key: str, holder: str, seconds: float) -> Deferred[bool]:
-        """Take or renew a lease."""
-        return Deferred.fromCoroutine(self._hold(key, holder, seconds))
+        """Acquire or renew a lease."""
+        return Deferred.fromCoroutine(self._acquire_lease(key, holder, seconds))
 
     def close(self) -> Deferred[None]:
         """Close idle connections."""
@@ -254,7 +258,7 @@
         written = msgspec.json.decode(answer.body, type=_ConsulTransaction)
         return written.results[0].kv.modify_index
 
-    async def _hold(self, key: str, holder: str, seconds: float) -> bool:
+    async def _acquire_lease(self, key: str, holder: str, seconds: float) -> bool:
         await self._renew_session(seconds)
         if key in self._leased_keys:
             return True
--- a/pimentolink/orders.py
+++ b/pimentolink/orders.py
@@ -1,4 +1,4 @@
-"""Carries the plan out on the engine beside a sidecar, one order at a time."""
+"""Applies the plan to the engine beside a sidecar, one order at a time."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from pimentolink.settings import OrderSettings
 from pimentolink.timers import Timers, pause
 
-STATE_PAUSE = 0.1
+STATE_POLL_INTERVAL = 0.1
 
 
 class EngineState(NamedTuple):
     """
-    What an engine tells of itself.
+    State reported by an engine.
 
     :ivar models: versions by name of model.
-    :ivar is_ordering: whether an order is under way.
+    :ivar is_ordering: whether an order is in progress.
     """
 
     role: str
@@ -33,42 +33,42 @@
 
 
 class EngineControl(Protocol):
-    """How a sidecar asks and orders its engine."""
+    """Control interface of an engine."""
 
     def state(self) -> Deferred[EngineState]:
         """
-        Ask what the engine holds.
+        Query the engine's state.
 
-        :raises Failure: without an answer.
+        :raises Failure: if the engine does not answer.
         """
 
     def order(self, wanted: Wanted, fencing_number: int) -> Deferred[None]:
         """
-        Give an order; ends when it took effect.
+        Send an order and wait until it took effect.
 
-        :raises Failure: if it was refused or its outcome is not known.
+        :raises Failure: if the order was refused or its outcome is unknown.
         """
 
 
 class WorkGate(Protocol):
-    """How work is kept from the target while an order is carried out."""
+    """Keeps requests from the target while an order is in progress."""
 
     def hold(self) -> Deferred[None]:
-        """Let no new work start; ends when none runs any more."""
+        """Refuse new requests and wait until all accepted ones have ended."""
 
     def release(self) -> None:
-        """Let work start again."""
+        """Accept new requests again."""
 
 
 class OrderKeeper:
     """
-    Brings the engine to what the plan wants.
+    Reconciles the engine with the plan.
 
-    Guards that at most one order is under way and that an older one never follows a
-    newer: each order is read from the plan at its source right before it is given,
-    the next one waits until the engine tells that none is under way, and a new
-    sidecar waits out what its predecessor may have sent (``OrderSettings.quiet``)
-    before it so much as asks.
+    Ensures that at most one order is in progress and that an older order never follows
+    a newer one: each order is built from the stored plan, which is read right before
+    the order is sent; the next order waits until the engine reports that none is in
+    progress; and a new sidecar waits for orders that its predecessor may have sent
+    (``OrderSettings.quiet``) before it even queries the engine.
     """
 
     def __init__(
@@ -83,16 +83,16 @@
         log: Log,
     ) -> None:
         """
-        Start the quiet time.
+        Start the quiet period.
 
-        :param settings: quiet time, timeouts.
+        :param settings: quiet period and timeouts.
         :param target_id: the engine's name.
         :param store: the key-value service.
-        :param engine: asks and orders the engine.
-        :param gate: keeps work from it.
+        :param engine: control interface of the engine.
+        :param gate: keeps requests from the engine.
         :param timers: the timer service.
         :param random: seeded source for jitter.
-        :param log: where events go.
+        :param log: receives log events.
         """
         self._settings = settings
         self._target_id = target_id
@@ -102,74 +102,79 @@
         self._timers = timers
         self._backoff = Backoff(0.1, 5.0, random)
         self._log = log
-        # A fleet that restarts must not ask the key-value service all at once.
+        # Avoids a burst of reads at the key-value service when a fleet restarts.
         spread = random.uniform(0.0, settings.spread)
         self._quiet_until = timers.now() + settings.quiet + spread
         self._group: Group | None = None
         self._known_revision = 0
         self._is_busy = False
-        self._has_news = False
+        self._has_plan_changed = False
         self._is_stopped = False
         self.role = ""
         self.settled_number = 0
 
     def assign(self, group: Group | None) -> None:
         """
-        Take note which plan the target stands in.
+        Set the group whose plan contains the target.
 
-        :param group: its group, or ``None`` while others give it orders.
+        :param group: its group, or ``None`` while its orders come from another system.
         """
         if group != self._group:
             self._group = group
             self._known_revision = 0
-            self.broadcast(1)
+            self.plan_changed(1)
 
-    def broadcast(self, revision: int) -> None:
+    def plan_changed(self, revision: int) -> None:
         """
-        Take note that the plan has changed.
+        Start applying a changed plan, unless its revision is already known.
 
-        :param revision: of the plan, as somebody read it.
+        :param revision: revision at which an entry read the plan.
         """
         if revision <= self._known_revision:
             return
-        self._has_news = True
-        self._start()
+        self._has_plan_changed = True
+        self._start_if_idle()
 
     def stop(self) -> None:
-        """Begin no further order."""
+        """Send no further orders."""
         self._is_stopped = True
 
     async def when_idle(self) -> None:
-        """Wait until no order is under way."""
+        """Wait until no plan is being applied."""
         while self._is_busy:
-            await pause(self._timers, STATE_PAUSE)
+            await pause(self._timers, STATE_POLL_INTERVAL)
 
-    def _start(self) -> None:
+    def _start_if_idle(self) -> None:
         if not self._is_busy:
             self._is_busy = True
-            Deferred.fromCoroutine(self._work())
+            Deferred.fromCoroutine(self._run())
 
-    async def _work(self) -> None:
+    async def _run(self) -> None:
         try:
-            while self._has_news and self._group is not None and not self._is_stopped:
+            while (
+                self._has_plan_changed
+                and self._group is not None
+                and not self._is_stopped
+            ):
                 quiet = self._quiet_until - self._timers.now()
                 await pause(self._timers, max(0.0, quiet))
-                self._has_news = False
-                if not await self._try_once():
-                    self._has_news = True
+                self._has_plan_changed = False
+                if not await self._try_reconcile():
+                    self._has_plan_changed = True
                     await pause(self._timers, self._backoff.next())
         finally:
             self._is_busy = False
             self._gate.release()
 
-    async def _try_once(self) -> bool:
+    async def _try_reconcile(self) -> bool:
         try:
-            await self._settle()
+            await self._reconcile()
         except Failure as failure:
             if isinstance(failure, OrderLost):
-                # It may begin yet, as one of a dead predecessor may.
+                # The engine may still start the order, as with an order that a stopped
+                # predecessor sent.
                 self._quiet_until = self._timers.now() + self._settings.quiet
-            # An engine still under an order refuses work by itself meanwhile.
+            # An engine that is still executing an order refuses requests itself.
             self._gate.release()
             self._log.write(
                 LogEvent.ORDER_FAILED, code=failure.code, detail=failure.detail
@@ -178,22 +183,22 @@
         self._backoff.reset()
         return True
 
-    async def _settle(self) -> None:
-        """Carry the plan out as it stands; ends when the engine is as wanted."""
+    async def _reconcile(self) -> None:
+        """Apply the current plan until the engine matches it."""
         while not self._is_stopped:
             state = await self._idle_state()
             wanted, _ = await self._read_plan()
-            if wanted is None or _is_met(wanted, state):
-                self._settled(wanted, state)
+            if wanted is None or _matches(wanted, state):
+                self._record_settled(wanted, state)
                 return
             await self._gate.hold()
-            # Read again: the plan may have changed while running work ended.
+            # Read again: the plan may have changed while accepted requests ended.
             wanted, revision = await self._read_plan()
             state = await self._idle_state()
-            if wanted is not None and not _is_met(wanted, state):
-                await self._give_order(wanted, revision)
+            if wanted is not None and not _matches(wanted, state):
+                await self._send_order(wanted, revision)
 
-    async def _give_order(self, wanted: Wanted, revision: int) -> None:
+    async def _send_order(self, wanted: Wanted, revision: int) -> None:
         self._log.write(
             LogEvent.ORDER_STARTED, role=wanted.role, fencing_number=revision
         )
@@ -209,7 +214,7 @@
                 return state
             if self._timers.now() > end:
                 raise OrderStuck("an order has been under way for too long")
-            await pause(self._timers, STATE_PAUSE)
+            await pause(self._timers, STATE_POLL_INTERVAL)
 
     async def _read_plan(self) -> tuple[Wanted | None, int]:
         if self._group is None:
@@ -221,11 +226,11 @@
         plan = decode_plan(value.data)
         return plan.wanted_by_target.get(self._target_id), value.revision
 
-    def _settled(self, wanted: Wanted | None, state: EngineState) -> None:
+    def _record_settled(self, wanted: Wanted | None, state: EngineState) -> None:
         self.role = state.role
         if wanted is not None:
             self.settled_number = wanted.number
 
 
-def _is_met(wanted: Wanted, state: EngineState) -> bool:
-    return wanted.is_met_by(state.role, state.models, state.adapters)
+def _matches(wanted: Wanted, state: EngineState) -> bool:
+    return wanted.matches(state.role, state.models, state.adapters)
--- a/pimentolink/plan.py
+++ b/pimentolink/plan.py
@@ -1,4 +1,4 @@
-"""The plan: what each target of a group should be."""
+"""The plan: the role, models and adapters that each engine of a group should have."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 class Group(NamedTuple):
     """
-    The targets that are planned together.
+    The targets of one service in one region, which are planned together.
 
-    :ivar service: their service.
-    :ivar region: where they stand.
+    :ivar service: name of the service.
+    :ivar region: name of the region.
     """
 
     service: str
@@ -31,18 +31,18 @@
 
     @property
     def planner_key(self) -> str:
-        """Key of the lease that says who plans for the group."""
+        """Key of the lease that the group's planner holds."""
         return f"{PLANNER_PREFIX}/{self.service}/{self.region}"
 
 
 class Wanted(Struct, frozen=True):
     """
-    What a target should be.
+    Desired state of a target.
 
-    :ivar role: of an engine.
+    :ivar role: role of the engine.
     :ivar models: versions by name of model.
     :ivar adapters: names of adapters.
-    :ivar number: plan number that last changed this target.
+    :ivar number: number of the plan that last changed this target.
     """
 
     role: Role
@@ -50,13 +50,13 @@
     adapters: list[str]
     number: int
 
-    def is_met_by(self, role: str, models: dict[str, str], adapters: list[str]) -> bool:
+    def matches(self, role: str, models: dict[str, str], adapters: list[str]) -> bool:
         """
-        Compare with what an engine holds.
+        Check whether an engine is in the desired state.
 
-        :param role: its role.
-        :param models: versions by name of model.
-        :param adapters: names of adapters.
+        :param role: role that the engine has.
+        :param models: versions of the models it holds, by name.
+        :param adapters: names of the adapters it holds, in any order.
         """
         held = (role, models, sorted(adapters))
         return held == (self.role, self.models, sorted(self.adapters))
@@ -64,12 +64,12 @@
 
 class Plan(Struct, frozen=True):
     """
-    A group's plan as stored; replaced as a whole by compare-and-swap.
+    A group's stored plan; replaced as a whole by compare-and-swap.
 
     :ivar writer: incarnation of the planner that wrote it.
-    :ivar number: one more than the plan it replaced.
-    :ivar configuration_version: that it was made for.
-    :ivar wanted_by_target: targets by name.
+    :ivar number: one more than the number of the plan it replaced.
+    :ivar configuration_version: version of the configuration it was made for.
+    :ivar wanted_by_target: desired states by name of target.
     """
 
     writer: str
@@ -81,26 +81,27 @@
         self, writer: str, version: int, wanted_by_target: dict[str, Wanted]
     ) -> Plan:
         """
-        Make the plan that follows this one.
+        Create the plan that replaces this one.
 
         :param writer: incarnation of the planner.
-        :param version: of the configuration it is made for.
-        :param wanted_by_target: whole; the numbers in it are set here.
-        :returns: a plan in which each target that changes has the new number.
+        :param version: version of the configuration it is made for.
+        :param wanted_by_target: desired states of all targets; their numbers are
+            ignored and set here.
+        :returns: a plan in which each target that changes has the new plan's number.
         """
         number = self.number + 1
         numbered = {
-            name: self._numbered(name, wanted, number)
+            name: self._with_number(name, wanted, number)
             for name, wanted in wanted_by_target.items()
         }
         return Plan(writer, number, version, numbered)
 
-    def _numbered(self, name: str, wanted: Wanted, number: int) -> Wanted:
-        before = self.wanted_by_target.get(name)
-        if before is not None and before.is_met_by(
+    def _with_number(self, name: str, wanted: Wanted, number: int) -> Wanted:
+        current = self.wanted_by_target.get(name)
+        if current is not None and current.matches(
             wanted.role, wanted.models, wanted.adapters
         ):
-            return before
+            return current
         return msgspec.structs.replace(wanted, number=number)
 
 
@@ -109,18 +110,18 @@
 
 def decode_plan(data: bytes | None) -> Plan:
     """
-    Read a stored plan.
+    Decode a stored plan.
 
-    :param data: as stored, or ``None`` if there is none yet.
+    :param data: the stored value, or ``None`` if there is no plan yet.
     """
     return NO_PLAN if data is None else msgspec.json.decode(data, type=Plan)
 
 
 def groups_of(configuration: Configuration) -> dict[Group, list[str]]:
     """
-    Sort the engines that this system gives orders to into groups.
+    Group the engines whose orders come from this system.
 
-    :param configuration: in force.
+    :param configuration: the configuration in force.
     :returns: names of targets by group.
     """
     targets_by_group: dict[Group, list[str]] = {}
@@ -140,9 +141,9 @@
     """
     Find the group of a target.
 
-    :param configuration: in force.
+    :param configuration: the configuration in force.
     :param target_id: the target's name.
-    :returns: ``None`` if this system gives it no orders.
+    :returns: ``None`` if the target gets no orders from this system.
     """
     for group, targets in groups_of(configuration).items():
         if target_id in targets:
@@ -152,12 +153,12 @@
 
 def wanted_of(configuration: Configuration, service: str, role: Role) -> Wanted:
     """
-    Tell what an engine of a service should hold.
+    Derive the desired state of a service's engine from the configuration.
 
-    :param configuration: in force.
+    :param configuration: the configuration in force.
     :param service: the service's name.
-    :param role: of the engine.
-    :returns: not numbered yet.
+    :param role: role that the engine should have.
+    :returns: a desired state with number 0, which :meth:`Plan.changed` replaces.
     """
     names = configuration.services[service].models
     models = {name: configuration.models[name].version for name in names}
--- a/pimentolink/planner.py
+++ b/pimentolink/planner.py
@@ -1,4 +1,4 @@
-"""The duty of planning for a group of engines; any entry may hold it."""
+"""Planning for groups of engines, by whichever entry holds a group's lease."""
 
 from __future__ import annotations
 
@@ -23,10 +23,11 @@
     """
     What a planner knows of an engine.
 
-    :ivar is_serving: whether its sidecar answers and tells that the engine does.
-    :ivar settled_number: of the plan's last change to it that it meets.
-    :ivar long_prefill_asked: work of long prompts since its sidecar started, tokens.
-    :ivar is_ejected: whether it serves, but gets no work for its failures.
+    :ivar is_serving: whether its sidecar is connected and reports that the engine
+        answers.
+    :ivar settled_number: number of the latest plan change that the engine has reached.
+    :ivar long_prefill_asked: long-prompt tokens requested since its sidecar started.
+    :ivar is_ejected: whether it answers, but gets no requests because of its failures.
     """
 
     target_id: str
@@ -40,18 +41,18 @@
 
 
 class FleetView(Protocol):
-    """Where a planner learns of engines."""
+    """Source of the state of engines."""
 
     def view(self, target_ids: list[str]) -> list[TargetView]:
         """
-        Look at engines.
+        Return the current state of engines.
 
-        :param target_ids: their names.
+        :param target_ids: names of the engines.
         """
 
 
 class RolePolicy(Protocol):
-    """How the roles of a group are chosen."""
+    """Chooses the roles of the engines of a group."""
 
     def choose(
         self,
@@ -64,15 +65,15 @@
         Choose the role of each engine.
 
         :param group: the engines' group.
-        :param configured: roles as operators wrote them, by name.
-        :param planned: roles that the plan in force wants, by name; an engine may
-            still be on its way there.
-        :param views: what is known of the engines.
+        :param configured: configured roles by name of engine.
+        :param planned: roles in the current plan by name of engine; an engine may not
+            have reached its role yet.
+        :param views: state of the engines.
         """
 
 
 class FixedRoles:
-    """Keeps the roles that operators configured."""
+    """Keeps the configured roles."""
 
     def choose(
         self,
@@ -81,7 +82,7 @@
         planned: dict[str, Role],
         views: list[TargetView],
     ) -> dict[str, Role]:
-        """Choose the configured roles."""
+        """Return the configured roles."""
         return configured
 
 
@@ -89,9 +90,9 @@
     """
     Keeps the plans of one region's groups up to date.
 
-    The lease on a group spares other entries the work; that no plan is lost or mixed
-    up rests on the compare-and-swap alone. A plan changes few engines at a time, so
-    that the others can carry the work.
+    The lease on a group only avoids duplicate work by other entries; consistency of
+    the plans rests on compare-and-swap alone. A plan changes few engines at a time, so
+    that the others can take over the load.
     """
 
     def __init__(
@@ -108,18 +109,18 @@
         log: Log,
     ) -> None:
         """
-        Prepare; :meth:`start` begins.
+        Create a planner; :meth:`start` begins planning.
 
-        :param settings: intervals and bounds.
-        :param incarnation: identity of this process's life.
-        :param data_centre: where this entry stands.
+        :param settings: intervals and limits.
+        :param incarnation: unique identifier of this run of the process.
+        :param data_centre: data centre of this entry.
         :param store: the key-value service.
         :param adoption: the configuration in force.
-        :param fleet: what is known of engines.
+        :param fleet: source of the state of engines.
         :param policy: chooses roles.
         :param timers: the timer service.
         :param random: seeded source for jitter.
-        :param log: where events go.
+        :param log: receives log events.
         """
         self._settings = settings
         self._random = random
@@ -134,45 +135,48 @@
         self._repeater: Repeater | None = None
         self._is_busy = False
         self._is_stopped = False
-        self._held_until_by_group: dict[Group, float] = {}
-        self._ask_at_by_group: dict[Group, float] = {}
+        self._lease_held_until_by_group: dict[Group, float] = {}
+        self._next_lease_attempt_by_group: dict[Group, float] = {}
         self._plan_by_group: dict[Group, tuple[Plan, int]] = {}
-        self._seen_by_id: dict[str, tuple[int, float]] = {}
+        self._last_seen_by_id: dict[str, tuple[int, float]] = {}
         self._started_at = timers.now()
 
     def start(self) -> None:
-        """Look at the groups again and again."""
+        """Start planning at regular intervals."""
         self._repeater = Repeater(self._timers, self._settings.interval, self.look)
 
     def stop(self) -> None:
-        """Plan no more; the leases lapse."""
+        """Stop planning; the leases expire."""
         self._is_stopped = True
         if self._repeater is not None:
             self._repeater.cancel()
 
     def look(self) -> None:
-        """Look at every group of the region once."""
+        """Plan for every group of the region, unless a pass is still running."""
         if not self._is_busy and self._adoption.accepted is not None:
             self._is_busy = True
-            Deferred.fromCoroutine(self._look(self._adoption.accepted.configuration))
+            Deferred.fromCoroutine(
+                self._plan_groups(self._adoption.accepted.configuration)
+            )
 
-    async def _look(self, configuration: Configuration) -> None:
+    async def _plan_groups(self, configuration: Configuration) -> None:
         try:
             region = configuration.region_of(self._data_centre)
             for group, target_ids in groups_of(configuration).items():
                 if group.region == region and not self._is_stopped:
                     await self._plan_group(group, target_ids, configuration)
         except KeyValueUnavailable:
-            # The plan stands as it is; what was read may be old after an outage.
+            # The stored plans stay in force. What is cached here may be outdated after
+            # an outage.
             self._plan_by_group.clear()
-            self._held_until_by_group.clear()
+            self._lease_held_until_by_group.clear()
         finally:
             self._is_busy = False
 
     async def _plan_group(
         self, group: Group, target_ids: list[str], configuration: Configuration
     ) -> None:
-        if not await self._holds(group):
+        if not await self._renew_lease(group):
             self._plan_by_group.pop(group, None)
             return
         if group not in self._plan_by_group:
@@ -180,7 +184,7 @@
             self._plan_by_group[group] = (decode_plan(value.data), value.revision)
         plan, revision = self._plan_by_group[group]
         views = self._fleet.view(target_ids)
-        self._remember(views)
+        self._record_serving(views)
         configured = {name: configuration.targets[name].role for name in target_ids}
         planned = {name: wanted.role for name, wanted in plan.wanted_by_target.items()}
         roles = self._policy.choose(group, configured, planned, views)
@@ -188,37 +192,39 @@
             name: wanted_of(configuration, group.service, roles[name])
             for name in target_ids
         }
-        allowed = self._allowed(plan, wanted, views)
+        allowed = self._limit_changes(plan, wanted, views)
         version = self._adoption.version
-        changed = plan.changed(self._incarnation, version, allowed)
-        if changed.wanted_by_target != plan.wanted_by_target:
-            await self._write(group, changed, revision)
+        new_plan = plan.changed(self._incarnation, version, allowed)
+        if new_plan.wanted_by_target != plan.wanted_by_target:
+            await self._write(group, new_plan, revision)
 
-    async def _holds(self, group: Group) -> bool:
+    async def _renew_lease(self, group: Group) -> bool:
         now = self._timers.now()
-        if now < self._held_until_by_group.get(group, 0.0):
+        if now < self._lease_held_until_by_group.get(group, 0.0):
             return True
-        if now < self._ask_at_by_group.get(group, 0.0):
+        if now < self._next_lease_attempt_by_group.get(group, 0.0):
             return False
         lease = self._settings.lease
         is_held = await self._store.hold_lease(
             group.planner_key, self._incarnation, lease
         )
         if is_held:
-            self._held_until_by_group[group] = now + lease / 3
+            self._lease_held_until_by_group[group] = now + lease / 3
         else:
-            # Asking is a write; the many entries without the duty ask seldom.
-            spread = self._random.uniform(0.5, 1.5)
-            self._ask_at_by_group[group] = now + spread * self._settings.ask_again
+            # Each attempt is a write; the many entries without the lease try seldom.
+            jitter = self._random.uniform(0.5, 1.5)
+            self._next_lease_attempt_by_group[group] = (
+                now + jitter * self._settings.ask_again
+            )
         return is_held
 
-    def _allowed(
+    def _limit_changes(
         self, plan: Plan, wanted: dict[str, Wanted], views: list[TargetView]
     ) -> dict[str, Wanted]:
         """
-        Hold back changes beyond ``most_changing`` engines at once.
+        Defer changes beyond ``most_changing`` engines at once.
 
-        :returns: what the next plan may want.
+        :returns: desired states for the next plan.
         """
         view_by_id = {view.target_id: view for view in views}
         before_by_id = {
@@ -235,7 +241,8 @@
         for name, new in wanted.items():
             before = before_by_id.get(name)
             is_same = before is not None and _is_same(before, new)
-            # An engine that does not serve takes no order: its plan stands.
+            # An engine that does not serve takes no orders, so its state in the plan
+            # is kept.
             if is_same or not view_by_id[name].is_serving:
                 continue
             if name in changing or self._may_change(name, changing, view_by_id):
@@ -247,41 +254,42 @@
         self, name: str, changing: set[str], view_by_id: dict[str, TargetView]
     ) -> bool:
         """
-        Tell whether an engine may be taken out of service for an order.
+        Check whether an engine may be taken out of service for an order.
 
-        While the others are ejected, or silent but not lost yet, it is the last that
-        serves.
+        It may not while it is the last one that serves, because the others are ejected
+        or not serving at the moment, but do not count as lost yet.
         """
         if len(changing) >= self._settings.most_changing:
             return False
         others = [view for view in view_by_id.values() if view.target_id != name]
-        able = {
+        available = {
             view.target_id for view in others if view.is_serving and not view.is_ejected
         }
-        expected = [view for view in others if self._is_expected(view)]
-        return bool(able - changing) or not expected
+        expected = [view for view in others if self._served_lately(view)]
+        return bool(available - changing) or not expected
 
-    def _is_expected(self, view: TargetView) -> bool:
-        """Tell whether an engine serves, or did until lately."""
-        _, seen_at = self._seen_by_id.get(view.target_id, (0, -math.inf))
+    def _served_lately(self, view: TargetView) -> bool:
+        """Check whether an engine serves or did so within ``lost_after``."""
+        _, seen_at = self._last_seen_by_id.get(view.target_id, (0, -math.inf))
         return self._timers.now() - seen_at <= self._settings.lost_after
 
-    def _remember(self, views: list[TargetView]) -> None:
+    def _record_serving(self, views: list[TargetView]) -> None:
         now = self._timers.now()
         for view in views:
             if view.is_serving:
-                self._seen_by_id[view.target_id] = (view.settled_number, now)
+                self._last_seen_by_id[view.target_id] = (view.settled_number, now)
 
     def _is_settled(self, before: Wanted, view: TargetView) -> bool:
         """
-        Tell whether an engine has reached what the plan wants.
+        Check whether an engine has reached its state in the plan.
 
-        One that does not serve may be under an order that others see; it counts as
-        changing for a while, then as lost, so that it does not block the others.
+        An engine that does not serve may be executing an order. It counts as changing
+        until ``lost_after``, then as lost, so that it does not block changes of other
+        engines forever.
         """
         if view.is_serving:
             return view.settled_number >= before.number
-        settled_number, seen_at = self._seen_by_id.get(
+        settled_number, seen_at = self._last_seen_by_id.get(
             view.target_id, (0, self._started_at)
         )
         is_lost = self._timers.now() - seen_at > self._settings.lost_after
@@ -291,7 +299,7 @@
         data = msgspec.json.encode(plan)
         written = await self._store.compare_and_swap(group.plan_key, data, revision)
         if written is None:
-            # Another planner came first: read its plan before the next look.
+            # Another planner wrote first: its plan is read in the next pass.
             self._plan_by_group.pop(group, None)
             return
         self._plan_by_group[group] = (plan, written)
@@ -304,4 +312,4 @@
 
 
 def _is_same(before: Wanted, new: Wanted) -> bool:
-    return before.is_met_by(new.role, new.models, new.adapters)
+    return before.matches(new.role, new.models, new.adapters)
--- a/pimentolink/roles.py
+++ b/pimentolink/roles.py
@@ -1,4 +1,4 @@
-"""Which engines read long prompts for the others: policies of roles."""
+"""Policies that choose which engines prefill long prompts for the others."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from pimentolink.timers import Timers
 
 
-class Demand:
+class PrefillDemand:
     """
-    The demand for reading long prompts in one group, smoothed, with its late peaks.
+    Smoothed demand for prefilling long prompts in one group, with recent peaks.
 
-    Works from counters that start anew with each sidecar.
+    Computed from counters that restart at 0 with each sidecar.
     """
 
     def __init__(self, settings: PlannerSettings, now: float) -> None:
@@ -24,48 +24,51 @@
         Start without demand.
 
         :param settings: smoothing and horizon.
-        :param now: the time.
+        :param now: current monotonic time, in seconds.
         """
         self._settings = settings
-        self._seen_at = now
-        self._asked_by_id: dict[str, int] = {}
+        self._observed_at = now
+        self._requested_tokens_by_id: dict[str, int] = {}
         self._peaks: deque[tuple[float, float]] = deque()
         self.rate = 0.0
 
     def observe(self, views: list[TargetView], now: float) -> None:
         """
-        Take the counters as of now.
+        Update the demand from the engines' counters.
 
-        :param views: the group's engines.
-        :param now: the time.
+        :param views: state of the group's engines.
+        :param now: current monotonic time, in seconds.
         """
-        took = now - self._seen_at
-        if took <= 0:
+        elapsed = now - self._observed_at
+        if elapsed <= 0:
             return
-        asked = sum(self._increase(view) for view in views if view.is_serving)
-        weight = 1 - math.exp(-took / self._settings.smoothing)
-        self.rate += weight * (asked / took - self.rate)
-        self._seen_at = now
-        self._keep_peak(now)
+        requested = sum(
+            self._newly_requested_tokens(view) for view in views if view.is_serving
+        )
+        weight = 1 - math.exp(-elapsed / self._settings.smoothing)
+        self.rate += weight * (requested / elapsed - self.rate)
+        self._observed_at = now
+        self._record_peak(now)
 
     def peak(self) -> float:
         """
-        Tell the highest smoothed demand within the horizon.
+        Return the highest smoothed demand within the horizon.
 
-        :returns: tokens a second.
+        :returns: tokens per second.
         """
         return max((rate for _, rate in self._peaks), default=0.0)
 
-    def _increase(self, view: TargetView) -> int:
-        before = self._asked_by_id.get(view.target_id)
+    def _newly_requested_tokens(self, view: TargetView) -> int:
+        before = self._requested_tokens_by_id.get(view.target_id)
         now = view.long_prefill_asked
-        self._asked_by_id[view.target_id] = now
+        self._requested_tokens_by_id[view.target_id] = now
         if before is None:
             return 0
         return now - before if now >= before else now
 
-    def _keep_peak(self, now: float) -> None:
-        # Decreasing from the oldest: a later, higher rate makes earlier ones moot.
+    def _record_peak(self, now: float) -> None:
+        # Monotonic queue, decreasing from the oldest: a later rate that is as high
+        # replaces earlier ones.
         while self._peaks and self._peaks[-1][1] <= self.rate:
             self._peaks.pop()
         self._peaks.append((now, self.rate))
@@ -75,23 +78,23 @@
 
 class MixRoles:
     """
-    Has as many engines read long prompts as the peak of the horizon needs.
+    Assigns as many engines to prefill as the peak within the horizon needs.
 
-    A peak that came lately is expected to come again, so engines are changed on the
-    first swing and kept, not changed back and forth with it. Engines that have the
-    role keep it; the least busy one is changed next.
+    A recent peak is expected to recur, so engines that change role at the first swing
+    of the demand keep it and don't change back and forth with later ones. Engines that
+    have the role keep it; the least loaded one is changed next.
     """
 
     def __init__(self, settings: PlannerSettings, timers: Timers) -> None:
         """
-        Start without knowledge of demand.
+        Create a policy that has not observed any demand yet.
 
         :param settings: rates, horizon and margin.
         :param timers: the timer service.
         """
         self._settings = settings
         self._timers = timers
-        self._demand_by_group: dict[Group, Demand] = {}
+        self._demand_by_group: dict[Group, PrefillDemand] = {}
 
     def choose(
         self,
@@ -100,54 +103,56 @@
         planned: dict[str, Role],
         views: list[TargetView],
     ) -> dict[str, Role]:
-        """Choose the readers; all others have the configured role."""
+        """Choose the engines that prefill; all others get their configured role."""
         now = self._timers.now()
-        demand = self._demand_by_group.setdefault(group, Demand(self._settings, now))
+        demand = self._demand_by_group.setdefault(
+            group, PrefillDemand(self._settings, now)
+        )
         demand.observe(views, now)
         serving = [view for view in views if view.is_serving]
-        wanted = self._readers_for(demand, len(serving))
-        readers = _keep_readers(serving, planned, wanted)
+        wanted = self._prefill_engines_needed(demand, len(serving))
+        prefill_engines = _choose_prefill_engines(serving, planned, wanted)
         return {
-            name: "prefill" if name in readers else role
+            name: "prefill" if name in prefill_engines else role
             for name, role in configured.items()
         }
 
-    def _readers_for(self, demand: Demand, engines: int) -> int:
+    def _prefill_engines_needed(self, demand: PrefillDemand, engines: int) -> int:
         needed = demand.peak() / self._settings.engine_rate
         count = math.ceil(needed - self._settings.margin)
         return max(0, min(count, engines // 2))
 
 
 class ThresholdRoles(MixRoles):
-    """Follows the demand of the moment without hysteresis; a baseline."""
+    """Baseline that follows the smoothed demand without hysteresis."""
 
-    def _readers_for(self, demand: Demand, engines: int) -> int:
+    def _prefill_engines_needed(self, demand: PrefillDemand, engines: int) -> int:
         count = round(demand.rate / self._settings.engine_rate)
         return max(0, min(count, engines // 2))
 
 
-def _keep_readers(
+def _choose_prefill_engines(
     views: list[TargetView], planned: dict[str, Role], wanted: int
 ) -> set[str]:
     """
-    Choose readers, first those that the plan has already, then the least busy.
+    Choose engines for prefill: those already planned for it, then the least loaded.
 
-    The plan counts, not the role told: an engine on its way to be a reader tells its
-    old role until it is there.
+    Uses the planned role, not the reported one: an engine that is changing to prefill
+    reports its old role until the change is complete.
     """
 
-    def order(view: TargetView) -> tuple[bool, int, str]:
-        busy = view.running + view.waiting
-        return planned.get(view.target_id) != "prefill", busy, view.target_id
+    def sort_key(view: TargetView) -> tuple[bool, int, str]:
+        load = view.running + view.waiting
+        return planned.get(view.target_id) != "prefill", load, view.target_id
 
-    return {view.target_id for view in sorted(views, key=order)[:wanted]}
+    return {view.target_id for view in sorted(views, key=sort_key)[:wanted]}
 
 
 def make_role_policy(settings: PlannerSettings, timers: Timers) -> RolePolicy:
     """
-    Make the policy that the settings name.
+    Create the policy that the settings name.
 
-    :param settings: of the planner.
+    :param settings: settings of the planner.
     :param timers: the timer service.
     """
     if settings.policy == "mix":
--- a/pimentolink/sidecar.py
+++ b/pimentolink/sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar: the only way in to the target beside it; opens no sockets."""
+"""The sidecar: sole access to the target beside it; opens no sockets itself."""
 
 from __future__ import annotations
 
@@ -25,32 +25,33 @@
 from pimentolink.timers import Repeater, Timers, pause
 from pimentolink.tracing import Tracing
 
-CLOSE_POLL = 0.02
+CLOSE_POLL_INTERVAL = 0.02
 
 
 class LinkListening(Protocol):
-    """Takes links of entries on one address."""
+    """Accepts links of entries on one address."""
 
     def start(self, address: str) -> bool:
-        """Listen; tell whether the target's slot was free."""
+        """Start listening; return whether the target's slot was free."""
 
     @property
     def open_links(self) -> int:
-        """Links that have not ended yet."""
+        """Number of links that have not ended yet."""
 
     def stop(self) -> None:
-        """End every link once what is queued for it has gone out."""
+        """Close every link once its queued messages have been sent."""
 
 
 class SidecarPorts(NamedTuple):
     """
-    What a sidecar needs from outside; real in the daemon, in memory elsewhere.
+    External dependencies of a sidecar, with real and in-memory implementations.
 
     :ivar target: the target beside it.
-    :ivar engine: asks and orders the target, if it is an engine.
-    :ivar open_older_system: makes calls to the older system at an address.
-    :ivar listening: makes what takes links of entries.
-    :ivar incarnation: identity of this process's life; also seeds its random source.
+    :ivar engine: control interface of the target, if it is an engine.
+    :ivar open_older_system: creates a client of the older system at an address.
+    :ivar listening: creates the server that accepts links of entries.
+    :ivar incarnation: unique identifier of this run of the process; also seeds its
+        random source.
     """
 
     timers: Timers
@@ -64,14 +65,14 @@
 
 
 class Sidecar:
-    """One sidecar: wires the parts and answers its links."""
+    """A sidecar: connects its components and handles messages of its links."""
 
     def __init__(self, settings: SidecarSettings, ports: SidecarPorts) -> None:
         """
-        Wire the parts; :meth:`start` begins.
+        Create the components; :meth:`start` begins.
 
-        :param settings: of this sidecar.
-        :param ports: to the world outside.
+        :param settings: settings of this sidecar.
+        :param ports: external dependencies.
         """
         self._settings = settings
         self._ports = ports
@@ -94,7 +95,7 @@
             Tracing(settings.instance, settings.trace_ratio, self.log),
             settings.claims.answers,
         )
-        self._orders = OrderKeeper(
+        self._order_keeper = OrderKeeper(
             settings.orders,
             settings.target,
             self._store,
@@ -111,7 +112,7 @@
 
     def start(self) -> bool:
         """
-        Take the target's slot and serve it.
+        Listen on the target's slot and start serving.
 
         :returns: whether the slot was free.
         """
@@ -129,20 +130,20 @@
         return True
 
     async def stop(self) -> None:
-        """Take no new work, say so, finish what is in work, leave the list, end."""
+        """Refuse new work, finish running work, deregister and close all links."""
         self._executor.is_draining = True
         self._report_load()
         self._register(is_leaving=True)
         self.log.write(LogEvent.STOPPING)
-        self._orders.stop()
-        is_idle = self._executor.when_idle()
-        limit = self._timers.call_later(self._settings.stop_within, is_idle.cancel)
+        self._order_keeper.stop()
+        idle = self._executor.when_idle()
+        stop_timer = self._timers.call_later(self._settings.stop_within, idle.cancel)
         try:
-            await is_idle
-            await self._orders.when_idle()
+            await idle
+            await self._order_keeper.when_idle()
         except CancelledError:
             self.log.write(LogEvent.STOP_TIMEOUT)
-        limit.cancel()
+        stop_timer.cancel()
         for repeater in self._repeaters:
             repeater.cancel()
         await self._ports.instances.deregister(self._settings.instance).addErrback(
@@ -151,11 +152,11 @@
         self._server.stop()
         end = self._timers.now() + self._settings.stop_grace
         while self._server.open_links and self._timers.now() < end:
-            await pause(self._timers, CLOSE_POLL)
+            await pause(self._timers, CLOSE_POLL_INTERVAL)
         self.log.write(LogEvent.STOPPED)
 
     def greeting(self) -> link_pb2.SidecarHello:
-        """Make the first message of a link."""
+        """Build the message that opens a link."""
         return link_pb2.SidecarHello(
             target_id=self._settings.target,
             incarnation=self._ports.incarnation,
@@ -164,7 +165,7 @@
         )
 
     def link_up(self, link: SidecarLink, hello: link_pb2.EntryHello) -> None:
-        """Serve an entry; bring it up to date if it knows less."""
+        """Send an entry the load, and the configuration if the entry's is older."""
         self.log.write(LogEvent.LINK_UP, entry=hello.instance_id)
         self._send_load(link, self._load())
         if hello.configuration_version < self._adoption.version:
@@ -174,7 +175,7 @@
             link.send(link_pb2.SidecarMessage(document=document))
 
     def link_message(self, link: SidecarLink, message: link_pb2.EntryMessage) -> None:
-        """Handle a message of an entry."""
+        """Handle a message from an entry."""
         kind = message.WhichOneof("body")
         if kind == "submit":
             self._executor.submit(link, message.submit)
@@ -184,16 +185,16 @@
             pause = message.pause
             self._executor.pause(link, pause.attempt_id, pause.paused)
         elif kind == "document":
-            self._take_document(link, message.document)
+            self._offer_document(link, message.document)
         elif kind == "plan_news":
-            self._orders.broadcast(message.plan_news.revision)
+            self._order_keeper.plan_changed(message.plan_news.revision)
 
     def link_down(self, link: SidecarLink) -> None:
-        """Give up what a lost entry asked for."""
+        """Cancel the work of an entry whose link is lost."""
         self._reports_by_link.pop(link, None)
         self._executor.link_down(link)
 
-    def _take_document(self, link: SidecarLink, document: link_pb2.Document) -> None:
+    def _offer_document(self, link: SidecarLink, document: link_pb2.Document) -> None:
         if document.json:
             self._adoption.offer(document.json)
             return
@@ -209,11 +210,11 @@
         configuration = self._adoption.accepted.configuration
         target = configuration.targets.get(self._settings.target)
         self._executor.is_drained = target is None or target.drained
-        self._find_older_system(configuration.older_system)
-        self._orders.assign(group_of(configuration, self._settings.target))
+        self._set_older_system(configuration.older_system)
+        self._order_keeper.assign(group_of(configuration, self._settings.target))
         self._report_load()
 
-    def _find_older_system(self, address: str | None) -> None:
+    def _set_older_system(self, address: str | None) -> None:
         if address == self._older_address:
             return
         self._older_address = address
@@ -232,7 +233,7 @@
         )
 
     def load_due(self, link: SidecarLink) -> link_pb2.Load | None:
-        """Tell the load along with answers, if the last report is old enough."""
+        """Return the load to send with other messages, or ``None`` if not due yet."""
         _, sent_at = self._reports_by_link.get(link, (None, 0.0))
         now = self._timers.now()
         if now - sent_at < self._settings.links.load_interval:
@@ -242,7 +243,7 @@
         return load
 
     def _report_load(self) -> None:
-        """Report the load where it changed or the last report is too old."""
+        """Report the load on links where it changed or a heartbeat is due."""
         load = self._load()
         heartbeat = self._settings.links.heartbeat
         for link, (sent, sent_at) in list(self._reports_by_link.items()):
@@ -256,8 +257,8 @@
 
     def _load(self) -> link_pb2.Load:
         load = self._executor.load()
-        load.role = self._orders.role
-        load.settled_number = self._orders.settled_number
+        load.role = self._order_keeper.role
+        load.settled_number = self._order_keeper.settled_number
         return load
 
     def _probe(self) -> None:
@@ -293,5 +294,5 @@
             pending.addErrback(lambda _: None)
 
     def _register_again(self, failure: object) -> None:
-        pause = self._random.uniform(0.5, 1.0) * self._settings.platform.backoff_most
-        self._timers.call_later(pause, lambda: self._register(is_leaving=False))
+        delay = self._random.uniform(0.5, 1.0) * self._settings.platform.backoff_most
+        self._timers.call_later(delay, lambda: self._register(is_leaving=False))
--- a/tests/test_configstore.py
+++ b/tests/test_configstore.py
@@ -1,4 +1,4 @@
-"""Changes by compare-and-swap, passed on as patches."""
+"""Configuration changes by compare-and-swap and their distribution as patches."""
 
 import msgspec
 import pytest
@@ -6,7 +6,11 @@
 from twisted.internet.defer import Deferred
 
 from pimentolink.adoption import Adoption
-from pimentolink.configstore import CONFIGURATION_KEY, ConfigurationStore, Head
+from pimentolink.configstore import (
+    CONFIGURATION_KEY,
+    ConfigurationHead,
+    ConfigurationStore,
+)
 from pimentolink.configuration import check
 from pimentolink.errors import ConfigurationConflict, KeyValueUnavailable
 from pimentolink.kvstore import MemoryStore
@@ -14,8 +18,8 @@
 from tests.builders import configuration
 
 
-def now(coroutine):
-    """Run what needs no waiting."""
+def result_of(coroutine):
+    """Return the result of a coroutine that completes without waiting."""
     outcome = []
     Deferred.fromCoroutine(coroutine).addBoth(outcome.append)
     if hasattr(outcome[0], "raiseException"):
@@ -23,14 +27,16 @@
     return outcome[0]
 
 
-def sound(role="mixed"):
+def valid_configuration(role="mixed"):
     document = configuration()
     document["targets"]["engine-1"]["role"] = role
     return check(document).unwrap()
 
 
 def replace(store, role, against, change_id):
-    return now(store.replace(sound(role), against, change_id, "a", "now"))
+    return result_of(
+        store.replace(valid_configuration(role), against, change_id, "a", "now")
+    )
 
 
 class TestReplace:
@@ -47,11 +53,11 @@
         replace(store, "mixed", 0, "one")
         swap = memory.compare_and_swap
 
-        def lose(key, data, revision):
+        def lose_answer(key, data, revision):
             memory.answers_to_lose = int(key == CONFIGURATION_KEY)
             return swap(key, data, revision)
 
-        memory.compare_and_swap = lose
+        memory.compare_and_swap = lose_answer
         assert replace(store, "decode", 1, "two").unwrap().version == 2
 
     def test_outage_raises(self):
@@ -64,13 +70,15 @@
         store = ConfigurationStore(MemoryStore())
         for against, role in enumerate(("mixed", "decode", "prefill")):
             replace(store, role, against, f"change-{against}")
-        versions = [item.version for item in now(store.history(9))]
+        versions = [item.version for item in result_of(store.history(9))]
         assert versions == [3, 2, 1]
 
 
 class TestPatch:
     def head(self, memory):
-        return msgspec.json.decode(memory._read(CONFIGURATION_KEY).data, type=Head)
+        return msgspec.json.decode(
+            memory._read(CONFIGURATION_KEY).data, type=ConfigurationHead
+        )
 
     def test_patch_leads_to_the_whole_document(self):
         memory = MemoryStore()
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Planning: few engines at a time, authority by compare-and-swap, roles by peaks."""
+"""Planning: limited changes, consistency by compare-and-swap, roles by peak demand."""
 
 from random import Random
 
@@ -20,7 +20,7 @@
 
 
 class Fleet:
-    """What the planner is told of engines."""
+    """Fake source of the state of engines."""
 
     def __init__(self):
         self.serving = set(ENGINES)
@@ -43,7 +43,7 @@
         ]
 
 
-class Site:
+class Harness:
     def __init__(self):
         self.timers = ManualTimers()
         self.store = MemoryStore()
@@ -86,129 +86,129 @@
 
 
 @pytest.fixture
-def site():
-    return Site()
+def harness():
+    return Harness()
 
 
-class Slowest(Random):
-    """Draws the longest pause each time."""
+class LongestDelays(Random):
+    """Always draws the longest delay."""
 
     def uniform(self, low, high):
         return high
 
 
 class TestTakeover:
-    def test_duty_is_taken_over_within_half_a_minute_of_its_holders_loss(self, site):
-        first = site.planner("one")
+    def test_duty_is_taken_over_within_half_a_minute_of_its_holders_loss(self, harness):
+        first = harness.planner("one")
         first.look()
-        second = site.planner("two", random=Slowest())
+        second = harness.planner("two", random=LongestDelays())
         second.look()
-        plan_before = site.plan.number
-        site.store.lapse("one")
-        site.fleet.settled["engine-1"] = plan_before
-        site.timers.advance(31.0)
+        plan_before = harness.plan.number
+        harness.store.lapse("one")
+        harness.fleet.settled["engine-1"] = plan_before
+        harness.timers.advance(31.0)
         second.look()
-        assert site.plan.number > plan_before
+        assert harness.plan.number > plan_before
 
 
 class TestFewAtATime:
-    def test_second_engine_waits_for_the_first(self, site):
-        planner = site.planner("one")
+    def test_second_engine_waits_for_the_first(self, harness):
+        planner = harness.planner("one")
         planner.look()
-        assert list(site.plan.wanted_by_target) == ["engine-1"]
+        assert list(harness.plan.wanted_by_target) == ["engine-1"]
         planner.look()
-        assert list(site.plan.wanted_by_target) == ["engine-1"]
-        site.fleet.settled["engine-1"] = site.plan.number
+        assert list(harness.plan.wanted_by_target) == ["engine-1"]
+        harness.fleet.settled["engine-1"] = harness.plan.number
         planner.look()
-        assert set(site.plan.wanted_by_target) == set(ENGINES)
+        assert set(harness.plan.wanted_by_target) == set(ENGINES)
 
-    def test_engine_that_does_not_serve_is_not_planned(self, site):
-        site.fleet.serving = {"engine-2"}
-        site.planner("one").look()
-        assert list(site.plan.wanted_by_target) == ["engine-2"]
+    def test_engine_that_does_not_serve_is_not_planned(self, harness):
+        harness.fleet.serving = {"engine-2"}
+        harness.planner("one").look()
+        assert list(harness.plan.wanted_by_target) == ["engine-2"]
 
-    def test_engine_lost_under_a_change_holds_up_others_for_a_while_only(self, site):
-        planner = site.planner("one")
+    def test_engine_lost_under_a_change_holds_up_others_for_a_while_only(self, harness):
+        planner = harness.planner("one")
         planner.look()
-        site.fleet.serving = {"engine-2"}
+        harness.fleet.serving = {"engine-2"}
         planner.look()
-        assert list(site.plan.wanted_by_target) == ["engine-1"]
-        site.timers.advance(61.0)
+        assert list(harness.plan.wanted_by_target) == ["engine-1"]
+        harness.timers.advance(61.0)
         planner.look()
-        assert set(site.plan.wanted_by_target) == set(ENGINES)
+        assert set(harness.plan.wanted_by_target) == set(ENGINES)
 
 
 class TestLastThatServes:
-    """An order takes an engine out of service while another one is out unplanned."""
+    """Guards against an order for one engine while the other one is out unplanned."""
 
-    def test_waits_while_the_other_is_ejected(self, site):
-        """Callers got 502: one engine was ejected, the other under an order."""
-        planner = site.planner("one")
-        site.fleet.ejected = {"engine-2"}
+    def test_waits_while_the_other_is_ejected(self, harness):
+        """Callers got 502 while one engine was ejected and the other under an order."""
+        planner = harness.planner("one")
+        harness.fleet.ejected = {"engine-2"}
         planner.look()
-        assert "engine-1" not in site.plan.wanted_by_target
-        site.fleet.ejected = set()
-        site.fleet.settled["engine-2"] = site.plan.number
+        assert "engine-1" not in harness.plan.wanted_by_target
+        harness.fleet.ejected = set()
+        harness.fleet.settled["engine-2"] = harness.plan.number
         planner.look()
-        assert "engine-1" in site.plan.wanted_by_target
+        assert "engine-1" in harness.plan.wanted_by_target
 
-    def test_waits_for_one_that_served_until_lately(self, site):
-        planner = site.planner("one")
-        site.fleet.ejected = set(ENGINES)
+    def test_waits_for_one_that_served_until_lately(self, harness):
+        planner = harness.planner("one")
+        harness.fleet.ejected = set(ENGINES)
         planner.look()
-        site.fleet.serving, site.fleet.ejected = {"engine-2"}, set()
+        harness.fleet.serving, harness.fleet.ejected = {"engine-2"}, set()
         planner.look()
-        assert "engine-2" not in site.plan.wanted_by_target
-        site.timers.advance(61.0)
+        assert "engine-2" not in harness.plan.wanted_by_target
+        harness.timers.advance(61.0)
         planner.look()
-        assert "engine-2" in site.plan.wanted_by_target
+        assert "engine-2" in harness.plan.wanted_by_target
 
 
 class TestAuthority:
-    def test_planner_that_believes_in_a_lapsed_lease_changes_nothing(self, site):
-        old = site.planner("old", role="prefill")
+    def test_planner_that_believes_in_a_lapsed_lease_changes_nothing(self, harness):
+        old = harness.planner("old", role="prefill")
         old.look()
-        site.store.lapse("old")
-        site.fleet.settled["engine-1"] = site.plan.number
-        new = site.planner("new", role="decode")
+        harness.store.lapse("old")
+        harness.fleet.settled["engine-1"] = harness.plan.number
+        new = harness.planner("new", role="decode")
         new.look()
-        newest = site.plan
+        newest = harness.plan
         assert newest.wanted_by_target["engine-1"].role == "decode"
         old.look()
-        assert site.plan == newest
+        assert harness.plan == newest
 
-    def test_without_compare_and_swap_it_would(self, site):
-        swap = site.store.compare_and_swap
+    def test_without_compare_and_swap_it_would(self, harness):
+        swap = harness.store.compare_and_swap
 
         def overwrite(key, data, revision):
-            return swap(key, data, site.store._read(key).revision)
+            return swap(key, data, harness.store._read(key).revision)
 
-        site.store.compare_and_swap = overwrite
-        old = site.planner("old", role="prefill")
+        harness.store.compare_and_swap = overwrite
+        old = harness.planner("old", role="prefill")
         old.look()
-        site.store.lapse("old")
-        site.fleet.settled["engine-1"] = site.plan.number
-        site.planner("new", role="decode").look()
-        newest = site.plan
+        harness.store.lapse("old")
+        harness.fleet.settled["engine-1"] = harness.plan.number
+        harness.planner("new", role="decode").look()
+        newest = harness.plan
         old.look()
-        assert site.plan != newest
+        assert harness.plan != newest
 
-    def test_entry_without_the_duty_asks_seldom(self, site):
-        site.planner("one").look()
-        other = site.planner("two")
-        before = site.store.calls
+    def test_entry_without_the_duty_asks_seldom(self, harness):
+        harness.planner("one").look()
+        other = harness.planner("two")
+        before = harness.store.calls
         for _ in range(100):
             other.look()
-            site.timers.advance(1.0)
-        assert site.store.calls - before <= 8
+            harness.timers.advance(1.0)
+        assert harness.store.calls - before <= 8
 
-    def test_answer_of_the_service_lost_is_no_harm(self, site):
-        planner = site.planner("one")
-        site.store.answers_to_lose = 1
+    def test_answer_of_the_service_lost_is_no_harm(self, harness):
+        planner = harness.planner("one")
+        harness.store.answers_to_lose = 1
         planner.look()
-        first = site.plan
+        first = harness.plan
         planner.look()
-        assert site.plan == first
+        assert harness.plan == first
 
 
 class TestRoles:
@@ -217,8 +217,8 @@
     )
     names = [f"e{number}" for number in range(6)]
 
-    def drive(self, policy, timers, rates):
-        """Return how often an engine's role changed over seconds of demand."""
+    def simulate(self, policy, timers, rates):
+        """Return the number of role changes, and of prefill engines at the end."""
         roles = dict.fromkeys(self.names, "mixed")
         changes = asked = 0
         for rate in rates:
@@ -237,18 +237,22 @@
         return changes, list(roles.values()).count("prefill")
 
     def test_a_swing_changes_engines_once_and_its_return_none(self):
-        swings = ([100] * 20 + [1_800] * 20) * 3
+        alternating_demand = ([100] * 20 + [1_800] * 20) * 3
         timers = ManualTimers()
-        mixed, readers = self.drive(MixRoles(self.settings, timers), timers, swings)
+        mixed, readers = self.simulate(
+            MixRoles(self.settings, timers), timers, alternating_demand
+        )
         timers = ManualTimers()
-        threshold, _ = self.drive(ThresholdRoles(self.settings, timers), timers, swings)
+        threshold, _ = self.simulate(
+            ThresholdRoles(self.settings, timers), timers, alternating_demand
+        )
         assert (mixed, readers) == (2, 2)
         assert threshold >= 8
 
     def test_readers_go_back_once_the_horizon_has_passed(self):
         timers = ManualTimers()
         rates = [1_800] * 20 + [0] * 130
-        changes, readers = self.drive(MixRoles(self.settings, timers), timers, rates)
+        changes, readers = self.simulate(MixRoles(self.settings, timers), timers, rates)
         assert (changes, readers) == (4, 0)
 
     def view(self, name, is_serving=True, running=5, asked=0):
@@ -262,7 +266,8 @@
         for second in range(30):
             timers.advance(1.0)
             is_chosen = planned["e1"] == "prefill"
-            # Another one is less busy once e1 is chosen, which tells its old role.
+            # Once e1 is chosen, the others are less loaded and e1 still reports its old
+            # role.
             views = [self.view(name, running=0) for name in self.names[2:]]
             views.append(self.view("e0", is_serving=False, running=0))
             running = 5 if is_chosen else 0
@@ -276,5 +281,7 @@
 
     def test_at_most_half_of_a_group_reads(self):
         timers = ManualTimers()
-        _, readers = self.drive(MixRoles(self.settings, timers), timers, [90_000] * 9)
+        _, readers = self.simulate(
+            MixRoles(self.settings, timers), timers, [90_000] * 9
+        )
         assert readers == 3
