--- a/pimentolink/callers.py
+++ b/pimentolink/callers.py
@@ -1,4 +1,4 @@
-"""The HTTP interface towards callers."""
+"""HTTP interface for callers and operators."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 TRACE_PREFIX = "/pimentolink/trace/"
 STATUS_PATH = "/pimentolink/status"
 SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
-PASSED_HEADERS = frozenset({"content-type", "accept"})
+FORWARDED_HEADERS = frozenset({"content-type", "accept"})
 
 
 class CallerInterface(Resource):
-    """Answers every path that callers and operators may ask for."""
+    """Handles HTTP requests of callers and operators, for all paths."""
 
     isLeaf = True  # noqa: N815
 
@@ -40,12 +40,12 @@
         self, entry: Entry, limits: CallerLimits, timers: Timers, shared_key: str
     ) -> None:
         """
-        Prepare.
+        Set up the fixed paths.
 
-        :param entry: brings requests to their answers.
-        :param limits: bounds on what callers may ask.
+        :param entry: dispatches requests.
+        :param limits: limits on callers' requests.
         :param timers: the timer service.
-        :param shared_key: what operators' programs prove themselves with.
+        :param shared_key: bearer token of operators' tools.
         """
         super().__init__()
         self._entry = entry
@@ -56,10 +56,10 @@
         self._limits = limits
         self._timers = timers
         self._shared_key = shared_key.encode()
-        self._page_by_path: dict[str, Callable[[WebRequest], object]] = {
-            "/healthz": lambda web: _answer(web, 200, b"{}"),
+        self._handler_by_path: dict[str, Callable[[WebRequest], object]] = {
+            "/healthz": lambda web: _send_response(web, 200, b"{}"),
             "/readyz": self._ready,
-            "/metrics": lambda web: _answer(
+            "/metrics": lambda web: _send_response(
                 web, 200, self._metrics.text(), b"text/plain; version=0.0.4"
             ),
             "/v1/models": self._models,
@@ -67,12 +67,12 @@
         }
 
     def render(self, request: WebRequest) -> int:
-        """Answer a request, now or later."""
+        """Handle a request; the response may be sent later."""
         path = request.path.decode("latin-1")
         method = request.method.decode("latin-1")
-        page = self._page_by_path.get(path)
-        if page is not None and method in ("GET", "HEAD"):
-            page(request)
+        handler = self._handler_by_path.get(path)
+        if handler is not None and method in ("GET", "HEAD"):
+            handler(request)
         elif path.startswith(TRACE_PREFIX):
             self._trace(request)
         elif path in (completions.CHAT_PATH, completions.TEXT_PATH):
@@ -80,31 +80,33 @@
         elif path.startswith(SERVICES_PREFIX):
             self._call_service(request, path, method)
         else:
-            _refuse(request, errors.ServiceUnknown(f"nothing at {path}"))
+            _send_error(request, errors.ServiceUnknown(f"nothing at {path}"))
         return NOT_DONE_YET
 
     def _ready(self, web: WebRequest) -> None:
         is_ready = self._adoption.accepted is not None and not self._entry.is_stopping
-        _answer(web, 200 if is_ready else 503, b"{}")
+        _send_response(web, 200 if is_ready else 503, b"{}")
 
     def _models(self, web: WebRequest) -> None:
         accepted = self._adoption.accepted
         names = accepted.configuration.models if accepted else {}
         data = [{"id": name, "object": "model"} for name in names]
-        _answer(web, 200, msgspec.json.encode({"object": "list", "data": data}))
+        _send_response(web, 200, msgspec.json.encode({"object": "list", "data": data}))
 
     def _status(self, web: WebRequest) -> None:
         if not self._is_operator(web):
-            _refuse(web, errors.Unauthenticated("the shared key is needed"))
+            _send_error(web, errors.Unauthenticated("the shared key is needed"))
             return
-        _answer(web, 200, msgspec.json.encode(self._entry.status()))
+        _send_response(web, 200, msgspec.json.encode(self._entry.status()))
 
     def _trace(self, web: WebRequest) -> None:
         if not self._is_operator(web):
-            _refuse(web, errors.Unauthenticated("the shared key is needed"))
+            _send_error(web, errors.Unauthenticated("the shared key is needed"))
             return
         spans = self._tracing.spans(web.path.decode("latin-1").rpartition("/")[2])
-        _answer(web, 200, msgspec.json.encode([span._asdict() for span in spans]))
+        _send_response(
+            web, 200, msgspec.json.encode([span._asdict() for span in spans])
+        )
 
     def _is_operator(self, web: WebRequest) -> bool:
         given = web.getHeader("authorization") or ""
@@ -112,7 +114,7 @@
 
     def _complete(self, web: WebRequest, path: str, method: str) -> None:
         if method != "POST":
-            _refuse(web, errors.InvalidRequest("POST is the only method here"))
+            _send_error(web, errors.InvalidRequest("POST is the only method here"))
             return
         configuration = self._admit(web)
         if configuration is None:
@@ -124,12 +126,12 @@
         )
         if isinstance(parsed, Err):
             self._metrics.count("refused", parsed.err_value.code)
-            _refuse(web, parsed.err_value)
+            _send_error(web, parsed.err_value)
             return
-        asked = parsed.ok_value
+        completion = parsed.ok_value
         created = int(self._timers.wall_time())
-        reply = _CompletionReply(self, web, asked, created)
-        self._start(web, asked.request, reply)
+        reply = _CompletionResponseWriter(self, web, completion, created)
+        self._start(web, completion.request, reply)
 
     def _call_service(self, web: WebRequest, path: str, method: str) -> None:
         configuration = self._admit(web)
@@ -138,18 +140,18 @@
         name, _, rest = path[len(SERVICES_PREFIX) :].partition("/")
         service = configuration.services.get(name)
         if service is None or service.kind != "plain":
-            _refuse(web, errors.ServiceUnknown(f"no plain service {name!r}"))
+            _send_error(web, errors.ServiceUnknown(f"no plain service {name!r}"))
             return
         headers = _headers_of(web)
         key = headers.get("idempotency-key", "")
-        may_repeat = service.repeatable or method in SAFE_METHODS
-        if not may_repeat and not key:
+        is_repeatable = service.repeatable or method in SAFE_METHODS
+        if not is_repeatable and not key:
             detail = f"{name} calls need an Idempotency-Key"
-            _refuse(web, errors.IdempotencyKeyMissing(detail))
+            _send_error(web, errors.IdempotencyKeyMissing(detail))
             return
         work = headers.get(completions.WORK_HEADER, service.work)
         if work not in configuration.work:
-            _refuse(web, errors.WorkUnknown(f"no kind of work {work!r}"))
+            _send_error(web, errors.WorkUnknown(f"no kind of work {work!r}"))
             return
         query = web.uri.partition(b"?")[2].decode("latin-1")
         request = Request(
@@ -162,10 +164,12 @@
             method=method,
             path=f"/{rest}?{query}" if query else f"/{rest}",
             headers={
-                name: value for name, value in headers.items() if name in PASSED_HEADERS
+                name: value
+                for name, value in headers.items()
+                if name in FORWARDED_HEADERS
             },
             body=_body_of(web),
-            idempotency_key="" if may_repeat else key,
+            idempotency_key="" if is_repeatable else key,
             is_model=False,
             prefill_tokens=0,
             decode_tokens=0,
@@ -173,7 +177,7 @@
             prefixes=(),
             traceparent=headers.get("traceparent", ""),
         )
-        self._start(web, request, _ServiceReply(self, web, request))
+        self._start(web, request, _ServiceResponseWriter(self, web, request))
 
     def _admit(self, web: WebRequest) -> Configuration | None:
         accepted = self._adoption.accepted
@@ -184,12 +188,12 @@
             failure = errors.Overloaded("too many requests in work", 1.0)
         if failure is not None:
             self._metrics.count("refused", failure.code)
-            _refuse(web, failure)
+            _send_error(web, failure)
             return None
         assert accepted is not None
         return accepted.configuration
 
-    def _start(self, web: WebRequest, request: Request, reply: _Reply) -> None:
+    def _start(self, web: WebRequest, request: Request, reply: _ResponseWriter) -> None:
         self._metrics.count("requests", request.work)
         span = self._tracing.start("entry", request.request_id, request.traceparent)
         span.set_attribute("work", request.work)
@@ -206,11 +210,11 @@
         self._dispatcher.cancel(request.request_id)
 
     def closing(self) -> bool:
-        """Tell whether connections are closed after their answer."""
+        """Return whether connections are closed after a failure response."""
         return self._entry.is_stopping
 
     def answered(self, progress: Progress) -> None:
-        """Record a whole answer."""
+        """Record a complete response in the metrics."""
         work = progress.request.work
         self._metrics.count("answered", work)
         self._metrics.record("answer", self._timers.now() - progress.started_at)
@@ -219,16 +223,16 @@
             self._metrics.record("first_token", first)
 
     def failed(self, failure: errors.Failure) -> None:
-        """Record a final answer that is a failure."""
+        """Record a failed request in the metrics."""
         self._metrics.count("failed", failure.code)
 
     def pause(self, request: Request, paused: bool) -> None:
-        """Hold a target back, or let it go on."""
+        """Stop or restart reading from a request's target."""
         self._dispatcher.pause(request.request_id, paused)
 
 
-class _Reply:
-    """What replies share: the caller's connection and the entry's figures."""
+class _ResponseWriter:
+    """Base of the classes that send a response to a caller and record its metrics."""
 
     def __init__(
         self, interface: CallerInterface, web: WebRequest, request: Request
@@ -238,23 +242,23 @@
         self.request = request
 
     def tokens(self, tokens: list[str]) -> None:
-        """Take the next tokens."""
+        """Handle the next tokens; does nothing by default."""
 
     def complete(self, finish: link_pb2.Finish, progress: Progress) -> None:
-        """Take the end of a whole answer."""
+        """Handle the end of a complete response; does nothing by default."""
 
     def fail(self, failure: errors.Failure, progress: Progress) -> None:
-        """Answer with a failure."""
+        """Respond with a failure."""
         self.interface.failed(failure)
         if not self.web._disconnected:
-            _refuse(self.web, failure, self.interface.closing())
+            _send_error(self.web, failure, self.interface.closing())
 
 
-class _ServiceReply(_Reply):
-    """The answer of a plain service."""
+class _ServiceResponseWriter(_ResponseWriter):
+    """Sends the response of a plain service."""
 
     def complete(self, finish: link_pb2.Finish, progress: Progress) -> None:
-        """Pass the service's answer on."""
+        """Forward the service's response."""
         self.interface.answered(progress)
         for header in finish.headers:
             self.web.setHeader(header.name, header.value)
@@ -264,24 +268,28 @@
 
 
 @implementer(IPushProducer)
-class _CompletionReply(_Reply):
-    """The answer of a model; as the connection's producer it learns of slow callers."""
+class _CompletionResponseWriter(_ResponseWriter):
+    """
+    Sends the response of a model.
+
+    It is the push producer of the connection, so that a slow caller pauses the target.
+    """
 
     def __init__(
         self,
         interface: CallerInterface,
         web: WebRequest,
-        asked: completions.Asked,
+        completion: completions.CompletionRequest,
         created: int,
     ) -> None:
-        super().__init__(interface, web, asked.request)
-        self._asked = asked
+        super().__init__(interface, web, completion.request)
+        self._completion = completion
         self._created = created
-        self._encoder = completions.ChunkEncoder(asked, created)
+        self._encoder = completions.ChunkEncoder(completion, created)
         self._has_begun = False
 
     def tokens(self, tokens: list[str]) -> None:
-        if not self._asked.is_streamed:
+        if not self._completion.is_streamed:
             return
         if not self._has_begun:
             self._begin()
@@ -289,16 +297,16 @@
 
     def complete(self, finish: link_pb2.Finish, progress: Progress) -> None:
         self.interface.answered(progress)
-        if self._asked.is_streamed:
+        if self._completion.is_streamed:
             if not self._has_begun:
                 self._begin()
             self.web.write(self._encoder.end(finish.finish_reason))
             self._end()
             return
-        body = completions.whole_answer(
-            self._asked, self._created, progress.tokens, finish.finish_reason
+        body = completions.encode_completion(
+            self._completion, self._created, progress.tokens, finish.finish_reason
         )
-        _answer(self.web, 200, body)
+        _send_response(self.web, 200, body)
 
     def fail(self, failure: errors.Failure, progress: Progress) -> None:
         if not self._has_begun:
@@ -319,15 +327,15 @@
         self.web.finish()
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Hold the target back: the caller does not read."""
+        """Pause the target because the caller's connection buffer is full."""
         self.interface.pause(self.request, True)
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Let the target go on: the caller reads again."""
+        """Resume the target because the caller reads again."""
         self.interface.pause(self.request, False)
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Do nothing: the caller's leaving is told by the connection."""
+        """Do nothing: ``notifyFinish`` reports that the caller disconnected."""
 
 
 def _headers_of(web: WebRequest) -> dict[str, str]:
@@ -342,7 +350,9 @@
     return bytes(content.read())
 
 
-def _answer(web: WebRequest, status: int, body: bytes, kind: bytes = JSON) -> None:
+def _send_response(
+    web: WebRequest, status: int, body: bytes, kind: bytes = JSON
+) -> None:
     web.setResponseCode(status)
     web.setHeader(b"content-type", kind)
     web.setHeader(b"content-length", str(len(body)).encode())
@@ -350,9 +360,11 @@
     web.finish()
 
 
-def _refuse(web: WebRequest, failure: errors.Failure, is_closing: bool = False) -> None:
+def _send_error(
+    web: WebRequest, failure: errors.Failure, is_closing: bool = False
+) -> None:
     if failure.retry_after is not None:
         web.setHeader("retry-after", str(math.ceil(failure.retry_after)))
     if is_closing:
         web.setHeader("connection", "close")
-    _answer(web, failure.status, completions.error_body(failure))
+    _send_response(web, failure.status, completions.error_body(failure))
--- a/pimentolink/callersite.py
+++ b/pimentolink/callersite.py
@@ -1,4 +1,4 @@
-"""Connections of callers to an entry, with bounds on what they send and when."""
+"""Callers' connections to an entry, with limits on size and time of requests."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 from pimentolink.timers import Timer, Timers
 
 JSON = b"application/json"
-LAST_LOOK = 0.1  # seconds; several turns of the loop, each of which reads what has come
+# Seconds; several iterations of the event loop, each of which reads the bytes received.
+FINAL_READ_DELAY = 0.1
 
 
 class BoundedRequest(WebRequest):
-    """A request that is refused once it is too large or takes too long to come."""
+    """A request that is refused if it is too large or takes too long to arrive."""
 
     limits: CallerLimits
     timers: Timers
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
-        """Start the time that a caller may take to send the request."""
+        """Start the deadline by which the caller has to send the whole request."""
         super().__init__(*args, **kwargs)
         self._received = 0
         self._is_refused = False
@@ -33,13 +34,13 @@
         )
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Refuse a body that says it is too large before it is read."""
+        """Refuse a body whose declared length is over the limit, before reading it."""
         super().gotLength(length)
         if length is not None and length > self.limits.body_bytes:
             self._refuse(b"413 Content Too Large", errors.BodyTooLarge())
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Refuse a body that grows too large."""
+        """Refuse a body once the bytes received are over the limit."""
         self._received += len(data)
         if self._received > self.limits.body_bytes and not self._is_refused:
             self._refuse(b"413 Content Too Large", errors.BodyTooLarge())
@@ -47,7 +48,7 @@
             super().handleContentChunk(data)
 
     def process(self) -> None:
-        """Answer the request, which has come whole."""
+        """Handle the request once all of it has been received."""
         self._deadline.cancel()
         if self._is_refused:
             self._transport().loseConnection()
@@ -55,7 +56,7 @@
         super().process()
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        """Take note that the caller is gone."""
+        """Cancel the deadline when the caller has disconnected."""
         self._deadline.cancel()
         super().connectionLost(reason)
 
@@ -68,8 +69,8 @@
         self._transport().loseConnection()
 
     def _refuse(self, status: bytes, failure: errors.Failure) -> None:
-        # The rest of the body is read and dropped until the deadline: a close with
-        # unread data would reset the connection before the caller has the answer.
+        # The rest of the body is read and discarded until the deadline: closing with
+        # unread data would reset the connection before the caller has the response.
         self._is_refused = True
         body = completions.error_body(failure)
         head = b"HTTP/1.1 %s\r\ncontent-type: %s\r\ncontent-length: %d\r\n"
@@ -82,36 +83,36 @@
 
 class CallerChannel(HTTPChannel):
     """
-    A connection of a caller, closed when it stays idle.
+    A caller's connection, closed once it is idle.
 
-    The time that an entry itself stood still does not make a connection idle: a caller
-    whose bytes wait to be read would lose the connection without an answer.
+    Time during which the entry's process was stalled does not count as idle: a caller
+    whose bytes are still unread would lose the connection without a response.
     """
 
-    _has_looked_again = False
+    _is_final_wait = False
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take bytes, after which the connection is not idle."""
-        self._has_looked_again = False
+        """Handle received bytes; the connection is no longer idle."""
+        self._is_final_wait = False
         super().dataReceived(data)
 
     def timeoutConnection(self) -> None:  # noqa: N802
-        """Close an idle connection once a last look has found no bytes."""
+        """Close an idle connection if another short wait brings no bytes."""
         if self.requests:
-            return  # the request under way has a deadline of its own
-        if self._has_looked_again:
+            return  # the current request has its own deadline
+        if self._is_final_wait:
             super().timeoutConnection()
             return
-        self._has_looked_again = True
-        self.setTimeout(LAST_LOOK)
+        self._is_final_wait = True
+        self.setTimeout(FINAL_READ_DELAY)
 
 
 def make_site(interface: Resource, limits: CallerLimits, timers: Timers) -> Site:
     """
-    Make the factory of callers' connections.
+    Create the factory of callers' connections.
 
-    :param interface: answers requests.
-    :param limits: bounds on requests.
+    :param interface: handles requests.
+    :param limits: limits on requests.
     :param timers: the timer service.
     """
     bounds = {"limits": limits, "timers": timers}
--- a/pimentolink/directory.py
+++ b/pimentolink/directory.py
@@ -1,4 +1,4 @@
-"""The targets that one entry is linked to."""
+"""The targets with a link to one entry."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 class TargetDirectory:
     """
-    Knows each linked target by name and by link, and keeps the router's pools.
+    Finds linked targets by name and by link, and maintains the router's pools.
 
-    Guards that a name leads to the link that came up last, so that a lost link of a
-    replaced sidecar does not take its successor out of routing.
+    A name always refers to the link that was established last, so that the loss of a
+    replaced sidecar's link does not remove its successor from routing.
     """
 
     def __init__(self, adoption: Adoption, router: Router, timers: Timers) -> None:
         """
         Start empty.
 
-        :param adoption: the configuration in force; sorts targets into services.
-        :param router: whose pools are kept.
+        :param adoption: the configuration in force; assigns targets to services.
+        :param router: the router whose pools are maintained.
         :param timers: the timer service.
         """
         self._adoption = adoption
@@ -34,40 +34,40 @@
         self._timers = timers
         self._link_by_id: dict[str, EntryLink] = {}
         self._target_by_link: dict[EntryLink, TargetState] = {}
-        adoption.subscribe(self.arrange_pools)
+        adoption.subscribe(self.update_pools)
 
     def add(self, link: EntryLink, target_id: str, data_centre: str) -> None:
         """
-        Take a target in.
+        Add a target.
 
-        :param link: how it is reached.
-        :param target_id: its name.
-        :param data_centre: where it stands.
+        :param link: link to the target's sidecar.
+        :param target_id: the target's name.
+        :param data_centre: the target's data centre.
         """
         self._link_by_id[target_id] = link
         self._target_by_link[link] = TargetState(target_id, data_centre)
-        self.arrange_pools()
+        self.update_pools()
 
     def remove(self, link: EntryLink) -> str | None:
         """
-        Take a target out.
+        Remove the target of a link that ended.
 
         :param link: the link that ended.
-        :returns: the target's name, or ``None`` if another link leads to it now.
+        :returns: the target's name, or ``None`` if it has a newer link.
         """
         target = self._target_by_link.pop(link, None)
         if target is None or self._link_by_id.get(target.target_id) is not link:
             return None
         del self._link_by_id[target.target_id]
-        self.arrange_pools()
+        self.update_pools()
         return target.target_id
 
     def link(self, target_id: str) -> EntryLink | None:
-        """Find the link to a target."""
+        """Return the current link to a target."""
         return self._link_by_id.get(target_id)
 
     def target(self, target_id: str) -> TargetState | None:
-        """Find what is known of a target."""
+        """Return the state of a linked target."""
         link = self._link_by_id.get(target_id)
         return self._target_by_link.get(link) if link is not None else None
 
@@ -75,48 +75,48 @@
         """
         Take a target's load report.
 
-        :returns: whether it tells the end of a planned change.
+        :returns: whether it shows the end of a planned change.
         """
         target = self._target_by_link.get(link)
         if target is None:
             return False
         target.reported(load)
-        took = target.planned_change_took(self._timers.now())
-        if took is None:
+        change_duration = target.track_planned_change(self._timers.now())
+        if change_duration is None:
             return False
         for pool in self._router.pool_by_service.values():
             if target.target_id in pool.targets_by_id:
-                pool.change_time = took
+                pool.last_change_duration = change_duration
         return True
 
-    def arrange_pools(self) -> None:
-        """Sort linked targets into services as the configuration says now."""
+    def update_pools(self) -> None:
+        """Assign linked targets to the services' pools as now configured."""
         accepted = self._adoption.accepted
         if accepted is None:
             return
         configuration = accepted.configuration
         pools = self._router.pool_by_service
         for name, service in configuration.services.items():
-            found = [
+            targets = [
                 self.target(target_id)
                 for target_id in service.targets
                 if not configuration.targets[target_id].drained
             ]
-            linked = [target for target in found if target is not None]
+            linked = [target for target in targets if target is not None]
             pools.setdefault(name, TargetPool()).replace(linked)
         for name in pools.keys() - configuration.services:
             del pools[name]
 
     def view(self, target_ids: list[str]) -> list[TargetView]:
         """
-        Look at engines for a planner.
+        Return the state of engines for a planner.
 
-        :param target_ids: their names.
+        :param target_ids: names of the engines, linked or not.
         """
         return [self._view(target_id) for target_id in target_ids]
 
     def describe(self) -> Iterator[dict[str, object]]:
-        """Tell operators what this entry knows of each linked target."""
+        """Describe the state of each linked target for operators."""
         now = self._timers.now()
         for target in self._target_by_link.values():
             yield {
--- a/pimentolink/dispatcher.py
+++ b/pimentolink/dispatcher.py
@@ -1,4 +1,4 @@
-"""Brings each request to its final answer, over as many attempts as it takes."""
+"""Dispatches requests to targets and retries them until each has a final response."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     TargetFailed,
 )
 from pimentolink.logs import Log, LogEvent
-from pimentolink.outcomes import failure_of, final_failure
+from pimentolink.outcomes import failure_from_finish, final_failure
 from pimentolink.prefixes import PrefixMemory
 from pimentolink.request import Progress, Request
 from pimentolink.retry import RetryBudget
@@ -38,42 +38,48 @@
 from pimentolink.timers import Timer, Timers
 from pimentolink.tracing import Tracing
 
-# Attempts at one target that failed, after which the end of a planned change of another
-# target is waited for.
-MAX_BEFORE_WAITING = 2
-# Seconds between two looks of a request that waits for it, in case its end is not told.
-CHANGE_CHECK = 1.0
+# Failed attempts at one target after which a request waits for another target to finish
+# its planned change instead of trying the first one again.
+MAX_FAILURES_BEFORE_WAITING = 2
+# Seconds after which a request that waits for a planned change tries again, in case the
+# end of the change is not reported.
+CHANGE_POLL_INTERVAL = 1.0
 
 
-class Reply(Protocol):
-    """Where a request's answer goes; exactly one of the last two is called, once."""
+class ResponseSink(Protocol):
+    """
+    Receives the response to a request.
+
+    Exactly one of ``complete`` and ``fail`` is called, and only once.
+    """
 
     def tokens(self, tokens: list[str]) -> None:
-        """Take the next tokens of a model's answer."""
+        """Receive the next tokens of a model's response."""
 
     def complete(self, finish: link_pb2.Finish, progress: Progress) -> None:
-        """Take the end of a whole answer."""
+        """Receive the end of a complete response."""
 
     def fail(self, failure: Failure, progress: Progress) -> None:
-        """Take the final answer of a request that is given up."""
+        """Receive the final failure of a request."""
 
 
-class _Work(NamedTuple):
-    """A request in work."""
+class _ActiveRequest(NamedTuple):
+    """A request that has no final response yet, with its timers and open spans."""
 
     progress: Progress
-    reply: Reply
+    reply: ResponseSink
     timers: dict[str, Timer]
     spans: dict[str, trace.Span]
 
 
 class Dispatcher:
     """
-    Requests in work at one entry.
+    The requests in flight at one entry.
 
-    Guards that each request gets one final answer, that an answer is matched to the
-    attempt that asked for it, and that a request is retried only where that is safe:
-    a call that may not be repeated carries its key to a sidecar that claims it.
+    Ensures that each request gets exactly one final response, that a response is
+    matched to the attempt that caused it, and that a request is retried only where
+    that is safe: a call that is not idempotent carries its idempotency key to a
+    sidecar, which claims the key before it makes the call.
     """
 
     def __init__(
@@ -92,12 +98,12 @@
 
         :param settings: limits and retries.
         :param adoption: the configuration in force.
-        :param directory: the targets that are linked.
-        :param router: chooses among them.
-        :param memory: which prompts were read where.
+        :param directory: the targets with a link to this entry.
+        :param router: chooses the target of each attempt.
+        :param memory: which targets have prefilled which prompts.
         :param timers: the timer service.
-        :param tracing: makes spans.
-        :param log: where events go.
+        :param tracing: creates spans.
+        :param log: receives events.
         """
         self._settings = settings
         self._adoption = adoption
@@ -109,170 +115,178 @@
         self._log = log
         self._budget = RetryBudget(settings.retry)
         self._last_attempt_id = 0
-        self._work_by_request_id: dict[str, _Work] = {}
+        self._active_by_request_id: dict[str, _ActiveRequest] = {}
         self._request_id_by_attempt: dict[int, str] = {}
         self.late_events = 0
         self.retries = 0
 
     @property
     def in_flight(self) -> int:
-        """Requests in work."""
-        return len(self._work_by_request_id)
+        """Number of requests without a final response."""
+        return len(self._active_by_request_id)
 
-    def submit(self, request: Request, reply: Reply) -> None:
+    def submit(self, request: Request, reply: ResponseSink) -> None:
         """
-        Take a request.
+        Start a request.
 
-        :param request: what is asked.
-        :param reply: where its answer goes.
+        :param request: the request as accepted.
+        :param reply: receives its response.
         """
         progress = Progress(request, self._timers.now())
-        work = _Work(progress, reply, {}, {})
-        self._work_by_request_id[request.request_id] = work
+        active = _ActiveRequest(progress, reply, {}, {})
+        self._active_by_request_id[request.request_id] = active
         progress.to_older_system = self._belongs_to_older_system(request)
         self._budget.earn()
-        self._set_timer(work, "patience", request.patience, lambda: self._expire(work))
-        self._attempt(work)
+        self._set_timer(
+            active, "patience", request.patience, lambda: self._handle_timeout(active)
+        )
+        self._attempt(active)
 
     def cancel(self, request_id: str) -> None:
         """
-        Forget a request whose caller has gone; its target is told.
+        Cancel a request whose caller has disconnected, also at its target.
 
-        :param request_id: which.
+        :param request_id: the request to cancel.
         """
-        work = self._work_by_request_id.get(request_id)
-        if work is not None:
-            self._withdraw_attempt(work)
-            self._close(work)
+        active = self._active_by_request_id.get(request_id)
+        if active is not None:
+            self._withdraw_attempt(active)
+            self._finish_request(active)
 
     def pause(self, request_id: str, paused: bool) -> None:
         """
-        Hold a request's target back while its caller reads slowly.
+        Stop or restart reading from a request's target, as its caller reads slowly.
 
-        :param request_id: which.
-        :param paused: whether to hold it back.
+        The request fails once it has been paused for the stall limit.
+
+        :param request_id: the request to pause or resume.
+        :param paused: whether to stop reading.
         """
-        work = self._work_by_request_id.get(request_id)
-        if work is None or work.progress.attempt_id is None:
+        active = self._active_by_request_id.get(request_id)
+        if active is None or active.progress.attempt_id is None:
             return
-        link = self._directory.link(work.progress.target_id)
+        link = self._directory.link(active.progress.target_id)
         if link is not None:
-            pause = link_pb2.Pause(attempt_id=work.progress.attempt_id, paused=paused)
+            pause = link_pb2.Pause(attempt_id=active.progress.attempt_id, paused=paused)
             link.send(link_pb2.EntryMessage(pause=pause))
         if paused:
             self._set_timer(
-                work,
+                active,
                 "stall",
                 self._settings.limits.stall,
-                lambda: self._give_up(work, CallerTooSlow()),
+                lambda: self._fail_request(active, CallerTooSlow()),
             )
         else:
-            self._drop_timer(work, "stall")
+            self._cancel_timer(active, "stall")
 
     def target_down(self, target_id: str) -> None:
         """
-        Move a lost target's requests elsewhere.
+        Retry the requests in flight at a target whose link was lost.
 
         :param target_id: the target whose link ended.
         """
         affected = [
-            work
-            for work in self._work_by_request_id.values()
-            if work.progress.attempt_id is not None
-            and work.progress.target_id == target_id
+            active
+            for active in self._active_by_request_id.values()
+            if active.progress.attempt_id is not None
+            and active.progress.target_id == target_id
         ]
-        for work in affected:
-            self._attempt_failed(work, LinkLost(f"with {target_id}"))
+        for active in affected:
+            self._attempt_failed(active, LinkLost(f"with {target_id}"))
 
     def step_received(self, step: link_pb2.Step) -> None:
-        """Take all that happened at one target since its last step."""
+        """Handle the events at one target since its last step."""
         for event in step.events:
-            work = self._work_of(event.attempt_id)
-            if work is None:
+            active = self._find_by_attempt(event.attempt_id)
+            if active is None:
                 self.late_events += 1
                 if event.HasField("finish"):
                     self._log.write(LogEvent.LATE_EVENT, attempt=event.attempt_id)
                 continue
             if event.tokens:
-                self._tokens_came(work, event)
-            if event.HasField("finish") and not work.progress.is_over:
-                self._finish_came(work, event.finish)
+                self._handle_tokens(active, event)
+            if event.HasField("finish") and not active.progress.is_over:
+                self._handle_finish(active, event.finish)
 
     def move_stalled(self) -> None:
-        """Move each answer on whose target has sent no token for too long."""
+        """Retry each started response whose target has sent no token for too long."""
         now = self._timers.now()
         limit = self._settings.retry.progress
         stalled = [
-            work
-            for work in self._work_by_request_id.values()
-            if work.progress.attempt_id is not None
-            and work.progress.first_token_at is not None
-            and "stall" not in work.timers
-            and now - work.progress.last_token_at > limit
+            active
+            for active in self._active_by_request_id.values()
+            if active.progress.attempt_id is not None
+            and active.progress.first_token_at is not None
+            and "stall" not in active.timers
+            and now - active.progress.last_token_at > limit
         ]
-        for work in stalled:
+        for active in stalled:
             failure = TargetFailed(f"no token for {limit:g} s")
-            self._withdraw_attempt(work)
-            self._attempt_failed(work, failure)
+            self._withdraw_attempt(active)
+            self._attempt_failed(active, failure)
 
-    def _work_of(self, attempt_id: int) -> _Work | None:
+    def _find_by_attempt(self, attempt_id: int) -> _ActiveRequest | None:
         request_id = self._request_id_by_attempt.get(attempt_id)
         if request_id is None:
             return None
-        work = self._work_by_request_id[request_id]
-        return work if work.progress.attempt_id == attempt_id else None
+        active = self._active_by_request_id[request_id]
+        return active if active.progress.attempt_id == attempt_id else None
 
-    def _attempt(self, work: _Work) -> None:
-        progress = work.progress
+    def _attempt(self, active: _ActiveRequest) -> None:
+        progress = active.progress
         request = progress.request
         if progress.is_at_limit:
-            # Only the end of the answer was lost; an engine would go on past it.
-            self._complete(work, link_pb2.Finish(finish_reason="length"))
+            # The caller has all tokens and only the finish was lost; an engine that
+            # resumed the response would generate beyond the token limit.
+            self._complete(active, link_pb2.Finish(finish_reason="length"))
             return
         chosen = self._router.choose(
-            progress.remaining,
+            progress.remaining_request,
             self._adoption.claim_partitions(request.service),
             progress.tried_target_ids,
             self._timers.now(),
         )
         target = None if isinstance(chosen, Err) else chosen.ok_value
-        if self._waits_for_change(work, target):
+        if self._wait_for_change(active, target):
             return
         if isinstance(chosen, Err):
             progress.attempts += 1
-            self._retry_later(work, chosen.err_value)
+            self._retry_later(active, chosen.err_value)
             return
         target = chosen.ok_value
         self._last_attempt_id += 1
-        progress.begin(self._last_attempt_id, target.target_id)
+        progress.begin_attempt(self._last_attempt_id, target.target_id)
         progress.last_token_at = self._timers.now()
         self._request_id_by_attempt[self._last_attempt_id] = request.request_id
-        work_tokens = self._prefill_work(progress, target)
-        target.sent(work_tokens)
+        uncached_tokens = self._uncached_prefill_tokens(progress, target)
+        target.sent(uncached_tokens)
         progress.is_prefill_only = self._is_split(progress, target)
         span = self._tracing.start("attempt", request.request_id, request.traceparent)
         span.set_attribute("target", target.target_id)
-        work.spans["attempt"] = span
-        submit = self._submission(progress, work_tokens, span)
+        active.spans["attempt"] = span
+        submit = self._submission(progress, uncached_tokens, span)
         link = self._directory.link(target.target_id)
         if link is not None:
             link.send(link_pb2.EntryMessage(submit=submit))
 
-    def _waits_for_change(self, work: _Work, target: TargetState | None) -> bool:
+    def _wait_for_change(
+        self, active: _ActiveRequest, target: TargetState | None
+    ) -> bool:
         """
-        Let a request wait for the end of a planned change, if that is best for it.
+        Let a request wait for the end of a planned change instead of sending it.
 
         With one engine ejected for its failures and the other under an order, requests
-        used up their attempts within a fraction of a second and failed, though the
-        order was done well before their patience ended.
+        used up their attempts within a fraction of a second and failed, although the
+        order was complete well before their patience ended.
 
-        :param target: that it would be sent to; ``None`` if there is none.
-        :returns: whether it waits, or was given up since the change takes too long.
+        :param target: the target chosen for the request; ``None`` if there is none.
+        :returns: whether the request waits, or has failed because the change would
+            outlast its patience.
         """
-        was_waiting = self._drop_timer(work, "change")
-        progress, now = work.progress, self._timers.now()
+        was_waiting = self._cancel_timer(active, "change")
+        progress, now = active.progress, self._timers.now()
         failed = progress.tried_target_ids.count(target.target_id) if target else 0
-        if target is not None and failed < MAX_BEFORE_WAITING:
+        if target is not None and failed < MAX_FAILURES_BEFORE_WAITING:
             return False
         service = progress.request.service
         ends_in = self._router.change_ends_in(service, now)
@@ -280,7 +294,9 @@
             return False
         left = progress.started_at + progress.request.patience - now
         if ends_in > left:
-            self._give_up(work, NoTarget(f"a target of {service} changes", ends_in))
+            self._fail_request(
+                active, NoTarget(f"a target of {service} changes", ends_in)
+            )
             return True
         if not was_waiting:
             self._log.write(
@@ -291,28 +307,30 @@
                 left=round(left, 3),
                 attempts=progress.attempts,
             )
-        self._set_timer(work, "change", CHANGE_CHECK, lambda: self._attempt(work))
+        self._set_timer(
+            active, "change", CHANGE_POLL_INTERVAL, lambda: self._attempt(active)
+        )
         return True
 
     def _is_changing(self, progress: Progress) -> bool:
-        """Tell whether a target of a request's service is under a planned change."""
+        """Return whether a target of a request's service is under a planned change."""
         service = progress.request.service
         return self._router.change_ends_in(service, self._timers.now()) is not None
 
     def change_ended(self) -> None:
-        """Send on what waits for the end of a planned change."""
-        for work in list(self._work_by_request_id.values()):
-            if "change" in work.timers:
-                self._attempt(work)
+        """Try the requests that wait for the end of a planned change."""
+        for active in list(self._active_by_request_id.values()):
+            if "change" in active.timers:
+                self._attempt(active)
 
-    def _prefill_work(self, progress: Progress, target: TargetState) -> int:
-        """Predict the prompt work that is left for a target, in tokens."""
-        request = progress.remaining
-        held = self._memory.expected_tokens(request, target.target_id)
-        return max(1, request.prefill_tokens - held) + len(progress.tokens)
+    def _uncached_prefill_tokens(self, progress: Progress, target: TargetState) -> int:
+        """Predict the tokens to prefill: uncached prompt and tokens received so far."""
+        request = progress.remaining_request
+        cached_tokens = self._memory.expected_tokens(request, target.target_id)
+        return max(1, request.prefill_tokens - cached_tokens) + len(progress.tokens)
 
     def _is_split(self, progress: Progress, target: TargetState) -> bool:
-        """Tell whether a target only reads the prompt for another to answer."""
+        """Return whether a target only prefills the prompt and another one decodes."""
         request = progress.request
         routing = self._settings.routing
         return (
@@ -325,15 +343,20 @@
         )
 
     def _belongs_to_older_system(self, request: Request) -> bool:
-        """Draw by key, so that a caller's retry of a call draws alike."""
+        """
+        Return whether a request is in the share that goes to the older system.
+
+        The choice is a hash of the idempotency key, so that a caller's retry of a call
+        goes to the same system as the call.
+        """
         service = self._adoption.service(request.service)
         if service is None or service.older_share == 0.0:
             return False
-        drawn = call_digest(request.idempotency_key or request.request_id)
-        return int(drawn[:8], 16) / 0x1_0000_0000 < service.older_share
+        digest = call_digest(request.idempotency_key or request.request_id)
+        return int(digest[:8], 16) / 0x1_0000_0000 < service.older_share
 
     def _submission(
-        self, progress: Progress, work_tokens: int, span: trace.Span
+        self, progress: Progress, uncached_tokens: int, span: trace.Span
     ) -> link_pb2.Submit:
         request = progress.request
         headers = [
@@ -354,54 +377,54 @@
             idempotency_key=request.idempotency_key,
             traceparent=self._tracing.traceparent(span) or request.traceparent,
             to_older_system=progress.to_older_system and progress.attempts == 1,
-            prefill_tokens=work_tokens if request.is_model else 0,
+            prefill_tokens=uncached_tokens if request.is_model else 0,
             decode_tokens=progress.decode_tokens_left if request.is_model else 0,
             prefill_only=progress.is_prefill_only,
             cache=progress.cache,
         )
 
-    def _tokens_came(self, work: _Work, event: link_pb2.Event) -> None:
-        accepted = work.progress.accept(event.offset, list(event.tokens))
+    def _handle_tokens(self, active: _ActiveRequest, event: link_pb2.Event) -> None:
+        accepted = active.progress.accept(event.offset, list(event.tokens))
         if isinstance(accepted, Err):
-            self._withdraw_attempt(work)
-            self._attempt_failed(work, accepted.err_value)
+            self._withdraw_attempt(active)
+            self._attempt_failed(active, accepted.err_value)
             return
-        progress = work.progress
+        progress = active.progress
         progress.last_token_at = self._timers.now()
         if progress.first_token_at is None:
             progress.first_token_at = progress.last_token_at
             self._memory.note(progress.request, progress.target_id)
-        work.reply.tokens(accepted.ok_value)
+        active.reply.tokens(accepted.ok_value)
 
-    def _finish_came(self, work: _Work, finish: link_pb2.Finish) -> None:
-        self._tracing.put(work.progress.request.request_id, finish.spans)
-        target = self._directory.target(work.progress.target_id)
+    def _handle_finish(self, active: _ActiveRequest, finish: link_pb2.Finish) -> None:
+        self._tracing.put(active.progress.request.request_id, finish.spans)
+        target = self._directory.target(active.progress.target_id)
         if finish.outcome == link_pb2.COMPLETE:
             if target is not None:
                 target.succeeded()
-            self._end_attempt(work)
-            if work.progress.is_prefill_only and finish.finish_reason != "stop":
-                self._hand_over(work, finish.cache)
+            self._end_attempt(active)
+            if active.progress.is_prefill_only and finish.finish_reason != "stop":
+                self._hand_over(active, finish.cache)
             else:
-                self._complete(work, finish)
+                self._complete(active, finish)
             return
-        self._attempt_failed(work, failure_of(finish))
+        self._attempt_failed(active, failure_from_finish(finish))
 
-    def _complete(self, work: _Work, finish: link_pb2.Finish) -> None:
-        self._close(work)
-        work.reply.complete(finish, work.progress)
+    def _complete(self, active: _ActiveRequest, finish: link_pb2.Finish) -> None:
+        self._finish_request(active)
+        active.reply.complete(finish, active.progress)
 
-    def _hand_over(self, work: _Work, cache: bytes) -> None:
-        """Go on with another engine, which is no retry."""
-        progress = work.progress
+    def _hand_over(self, active: _ActiveRequest, cache: bytes) -> None:
+        """Continue at another engine after the prefill, without counting a retry."""
+        progress = active.progress
         progress.cache = cache
         progress.was_handed_over = True
         progress.attempts -= 1
         progress.is_prefill_only = False
-        self._attempt(work)
+        self._attempt(active)
 
-    def _attempt_failed(self, work: _Work, failure: Failure) -> None:
-        progress = work.progress
+    def _attempt_failed(self, active: _ActiveRequest, failure: Failure) -> None:
+        progress = active.progress
         self._log.write(
             LogEvent.ATTEMPT_FAILED,
             request=progress.request.request_id,
@@ -410,109 +433,118 @@
             code=failure.code,
             detail=failure.detail,
         )
-        self._blame_target(work, failure)
+        self._record_target_failure(active, failure)
         progress.may_have_run |= failure.ran
-        self._end_attempt(work)
-        # A second sidecar is asked, in case the first alone is cut off from the
-        # key-value service; more would only keep the caller waiting.
-        is_down = isinstance(failure, ClaimUnavailable) and progress.attempts >= 2
+        self._end_attempt(active)
+        # A second sidecar is tried in case only the first is disconnected from the
+        # key-value service; trying more would only keep the caller waiting.
+        is_unclaimable = (
+            isinstance(failure, ClaimUnavailable) and progress.attempts >= 2
+        )
         is_final = isinstance(failure, (*REJECTIONS, OutcomeUnknown))
-        if is_final or is_down:
-            self._give_up(work, failure)
+        if is_final or is_unclaimable:
+            self._fail_request(active, failure)
         else:
-            self._retry_later(work, failure)
+            self._retry_later(active, failure)
 
-    def _blame_target(self, work: _Work, failure: Failure) -> None:
-        target = self._directory.target(work.progress.target_id)
+    def _record_target_failure(self, active: _ActiveRequest, failure: Failure) -> None:
+        target = self._directory.target(active.progress.target_id)
         if target is None:
             return
         if isinstance(failure, Draining):
-            # Nothing failed there: it may be asked again once it takes work.
-            report_within = self._settings.links.load_interval
-            target.turned_work_away(self._timers.now() + report_within)
-            work.progress.tried_target_ids.remove(target.target_id)
+            # The target did not fail: it may be tried again once it accepts work.
+            report_interval = self._settings.links.load_interval
+            target.turned_work_away(self._timers.now() + report_interval)
+            active.progress.tried_target_ids.remove(target.target_id)
         if not isinstance(failure, TargetFailed | CrossedAnswer):
             return
         if target.failed(self._timers.now(), self._settings.routing):
             self._log.write(LogEvent.TARGET_EJECTED, target=target.target_id)
 
-    def _retry_later(self, work: _Work, failure: Failure) -> None:
-        progress = work.progress
+    def _retry_later(self, active: _ActiveRequest, failure: Failure) -> None:
+        progress = active.progress
         retry = self._settings.retry
-        is_first_move = progress.attempts == 1 and failure.ran
+        is_first_retry = progress.attempts == 1 and failure.ran
         if progress.attempts >= retry.attempts and not self._is_changing(progress):
-            self._give_up(work, failure)
+            self._fail_request(active, failure)
             return
-        # The first move of a request whose target was lost is always granted: it at
-        # most doubles the load. So is a move away from a planned change, which cost
-        # the target nothing. The budget bounds all other retries.
-        is_free = is_first_move or isinstance(failure, Draining)
+        # The first retry of a request whose first attempt may have run needs no budget:
+        # such retries at most double the load. Neither does a retry after a target
+        # that is draining, as the attempt cost that target nothing. The budget bounds
+        # all other retries.
+        is_free = is_first_retry or isinstance(failure, Draining)
         if not is_free and not self._budget.spend():
-            self._give_up(work, failure)
+            self._fail_request(active, failure)
             return
         self.retries += 1
-        pause = min(retry.backoff_most, retry.backoff_first * 2**progress.attempts)
-        if is_first_move:
-            pause = 0.0
-        self._set_timer(work, "retry", pause, lambda: self._attempt(work))
+        delay = min(retry.backoff_most, retry.backoff_first * 2**progress.attempts)
+        if is_first_retry:
+            delay = 0.0
+        self._set_timer(active, "retry", delay, lambda: self._attempt(active))
 
-    def _expire(self, work: _Work) -> None:
-        progress = work.progress
+    def _handle_timeout(self, active: _ActiveRequest) -> None:
+        progress = active.progress
         if progress.attempt_id is None and not progress.may_have_run:
-            self._give_up(work, NotRun("no target took it within its patience"))
+            self._fail_request(active, NotRun("no target took it within its patience"))
         else:
-            self._give_up(work, LateAnswer("no whole answer within its patience"))
-
-    def _give_up(self, work: _Work, failure: Failure) -> None:
-        if work.progress.attempt_id is not None:
-            work.progress.may_have_run = True
-        failure = final_failure(failure, work.progress)
-        self._withdraw_attempt(work)
-        self._close(work)
+            self._fail_request(
+                active, LateAnswer("no whole answer within its patience")
+            )
+
+    def _fail_request(self, active: _ActiveRequest, failure: Failure) -> None:
+        if active.progress.attempt_id is not None:
+            active.progress.may_have_run = True
+        failure = final_failure(failure, active.progress)
+        self._withdraw_attempt(active)
+        self._finish_request(active)
         self._log.write(
             LogEvent.REQUEST_FAILED,
-            request=work.progress.request.request_id,
+            request=active.progress.request.request_id,
             code=failure.code,
-            attempts=work.progress.attempts,
+            attempts=active.progress.attempts,
         )
-        work.reply.fail(failure, work.progress)
+        active.reply.fail(failure, active.progress)
 
-    def _withdraw_attempt(self, work: _Work) -> None:
-        progress = work.progress
+    def _withdraw_attempt(self, active: _ActiveRequest) -> None:
+        progress = active.progress
         if progress.attempt_id is None:
             return
         link = self._directory.link(progress.target_id)
         if link is not None:
             cancel = link_pb2.Cancel(attempt_id=progress.attempt_id)
             link.send(link_pb2.EntryMessage(cancel=cancel))
-        self._end_attempt(work)
+        self._end_attempt(active)
 
-    def _end_attempt(self, work: _Work) -> None:
-        attempt_id = work.progress.attempt_id
+    def _end_attempt(self, active: _ActiveRequest) -> None:
+        attempt_id = active.progress.attempt_id
         if attempt_id is None:
             return
         self._request_id_by_attempt.pop(attempt_id, None)
-        work.spans.pop("attempt").end()
-        target = self._directory.target(work.progress.target_id)
+        active.spans.pop("attempt").end()
+        target = self._directory.target(active.progress.target_id)
         if target is not None:
             target.ended()
-        work.progress.end_attempt()
+        active.progress.end_attempt()
 
-    def _close(self, work: _Work) -> None:
-        work.progress.is_over = True
-        self._work_by_request_id.pop(work.progress.request.request_id, None)
-        for timer in work.timers.values():
+    def _finish_request(self, active: _ActiveRequest) -> None:
+        active.progress.is_over = True
+        self._active_by_request_id.pop(active.progress.request.request_id, None)
+        for timer in active.timers.values():
             timer.cancel()
-        work.timers.clear()
+        active.timers.clear()
 
     def _set_timer(
-        self, work: _Work, name: str, delay: float, callback: Callable[[], object]
+        self,
+        active: _ActiveRequest,
+        name: str,
+        delay: float,
+        callback: Callable[[], object],
     ) -> None:
-        self._drop_timer(work, name)
-        work.timers[name] = self._timers.call_later(delay, callback)
+        self._cancel_timer(active, name)
+        active.timers[name] = self._timers.call_later(delay, callback)
 
-    def _drop_timer(self, work: _Work, name: str) -> bool:
-        timer = work.timers.pop(name, None)
+    def _cancel_timer(self, active: _ActiveRequest, name: str) -> bool:
+        timer = active.timers.pop(name, None)
         if timer is not None:
             timer.cancel()
         return timer is not None
--- a/pimentolink/outcomes.py
+++ b/pimentolink/outcomes.py
@@ -1,4 +1,4 @@
-"""How attempts end: failures on the wire, and a request's final answer."""
+"""Conversion of failures to and from the wire, and a request's final failure."""
 
 from __future__ import annotations
 
@@ -21,8 +21,9 @@
 from pimentolink.httpclient import Answer
 from pimentolink.request import Progress
 
-KEPT_HEADERS = frozenset({"content-type", "location", "retry-after"})
-RETRY_AFTER = 1.0
+FORWARDED_HEADERS = frozenset({"content-type", "location", "retry-after"})
+# Seconds, for failures without a time of their own.
+DEFAULT_RETRY_AFTER = 1.0
 
 _FAILURE_BY_CODE: dict[str, type[Failure]] = {
     failure.code: failure
@@ -44,9 +45,9 @@
 
 def finish_of_answer(answer: Answer) -> link_pb2.Finish:
     """
-    Write the end of a whole answer.
+    Encode a target's complete answer.
 
-    :param answer: of the target.
+    :param answer: as the target sent it.
     """
     return link_pb2.Finish(
         outcome=link_pb2.COMPLETE,
@@ -54,7 +55,7 @@
         headers=[
             link_pb2.Header(name=name, value=value)
             for name, value in answer.headers.items()
-            if name in KEPT_HEADERS
+            if name in FORWARDED_HEADERS
         ],
         body=answer.body,
     )
@@ -62,9 +63,9 @@
 
 def finish_of(failure: Failure) -> link_pb2.Finish:
     """
-    Write a failed attempt's end.
+    Encode the failure of an attempt.
 
-    :param failure: why it failed.
+    :param failure: why the attempt failed.
     """
     if isinstance(failure, REJECTIONS):
         outcome = link_pb2.REJECTED
@@ -80,11 +81,11 @@
     )
 
 
-def failure_of(finish: link_pb2.Finish) -> Failure:
+def failure_from_finish(finish: link_pb2.Finish) -> Failure:
     """
-    Read why an attempt failed.
+    Decode the failure of an attempt.
 
-    :param finish: its end, other than a whole answer.
+    :param finish: how the attempt ended, with an outcome other than ``COMPLETE``.
     """
     failure_type = _FAILURE_BY_CODE.get(finish.error_code, TargetFailed)
     detail = finish.body.decode(errors="replace")
@@ -93,16 +94,16 @@
 
 def final_failure(failure: Failure, progress: Progress) -> Failure:
     """
-    Turn the last failure into the request's final answer.
+    Derive a request's final failure from the failure of its last attempt.
 
-    Only a request of which no attempt may have run is said not to have run.
+    The result claims that the request did not run only if no attempt may have run.
     """
     if isinstance(failure, REJECTIONS):
         return failure
     if progress.may_have_run and progress.request.idempotency_key:
         return OutcomeUnknown(str(failure))
     if progress.may_have_run and not failure.ran:
-        return TargetFailed(str(failure), failure.retry_after or RETRY_AFTER)
+        return TargetFailed(str(failure), failure.retry_after or DEFAULT_RETRY_AFTER)
     if failure.retry_after is None:
-        failure.retry_after = RETRY_AFTER
+        failure.retry_after = DEFAULT_RETRY_AFTER
     return failure
--- a/pimentolink/prefixes.py
+++ b/pimentolink/prefixes.py
@@ -1,4 +1,4 @@
-"""Which targets probably hold which beginnings of prompts in their caches."""
+"""Index of the targets that probably have a prompt's prefix in their caches."""
 
 from __future__ import annotations
 
@@ -10,44 +10,46 @@
 
 class PrefixMemory:
     """
-    Remembers which targets read which beginnings of prompts, bounded.
+    Records which targets have prefilled which prompt prefixes.
 
-    What an engine's cache still holds is only guessed from it.
+    The number of prefixes is bounded; the least recently prefilled ones are dropped.
+
+    What an engine's cache still contains is only estimated from these records.
     """
 
-    def __init__(self, most: int) -> None:
+    def __init__(self, max_prefixes: int) -> None:
         """
         Start empty.
 
-        :param most: beginnings kept.
+        :param max_prefixes: maximum number of prefixes to keep.
         """
-        self._most = most
+        self._max_prefixes = max_prefixes
         self._targets_by_prefix: OrderedDict[int, set[str]] = OrderedDict()
 
     def note(self, request: Request, target_id: str) -> None:
-        """Remember that a target read a request's prompt."""
+        """Record that a target has prefilled a request's prompt."""
         for prefix in request.prefixes:
             targets = self._targets_by_prefix.setdefault(prefix, set())
             targets.add(target_id)
             self._targets_by_prefix.move_to_end(prefix)
-        while len(self._targets_by_prefix) > self._most:
+        while len(self._targets_by_prefix) > self._max_prefixes:
             self._targets_by_prefix.popitem(last=False)
 
     def expected_tokens(self, request: Request, target_id: str) -> int:
         """
-        Guess how much of a prompt a target holds.
+        Estimate how much of a prompt is in a target's cache.
 
-        :returns: tokens.
+        :returns: prompt tokens.
         """
-        held = 0
+        cached_tokens = 0
         for prefix, tokens in zip(request.prefixes, PREFIX_TOKENS, strict=False):
             if target_id not in self._targets_by_prefix.get(prefix, ()):
                 break
-            held = tokens
-        return held
+            cached_tokens = tokens
+        return cached_tokens
 
     def holders(self, request: Request) -> set[str]:
-        """Name the targets that read the longest known beginning of a prompt."""
+        """Return the names of the targets that prefilled the longest known prefix."""
         for prefix in reversed(request.prefixes):
             targets = self._targets_by_prefix.get(prefix)
             if targets:
--- a/pimentolink/router.py
+++ b/pimentolink/router.py
@@ -15,13 +15,13 @@
 from pimentolink.settings import RoutingSettings
 from pimentolink.targetpool import PREFILL, TargetPool, TargetState, ring_hash
 
-REMOTE_SAMPLE = 2
-# Seconds after which a caller is asked to return, if it is not known when a target is.
-NO_TARGET_PAUSE = 1.0
+REMOTE_SAMPLE_SIZE = 2  # candidates from each other data centre
+# Seconds that a caller is told to wait if no target is available and none is ejected.
+NO_TARGET_RETRY_AFTER = 1.0
 
 
 class RoutingPolicy(Protocol):
-    """How one of several targets is preferred."""
+    """Strategy that chooses one of the targets of a service."""
 
     def choose(
         self, request: Request, pool: TargetPool, avoid: list[str], now: float
@@ -29,21 +29,21 @@
         """
         Choose a target.
 
-        :param request: what is to be done.
+        :param request: the request, or what remains of it.
         :param pool: the targets of its service.
-        :param avoid: names of targets that failed this request already.
-        :param now: the time.
+        :param avoid: names of targets to choose only if no other is available.
+        :param now: time of the timer service in seconds.
         :returns: the target, or ``None`` if none is available.
         """
 
 
 class PredictedWork:
     """
-    Prefers the target whose first token is predicted soonest.
+    Prefers the target with the earliest predicted first token.
 
-    Counts the prompts before the request, what the target's cache probably holds of
-    this one, the answers under way, the distance, and whether the target's role suits
-    the work.
+    Considers the prompts queued ahead of the request, how much of its prompt the
+    target probably has in its cache, the streams there, whether it is in another data
+    centre, and whether its role suits the request.
     """
 
     def __init__(
@@ -54,11 +54,11 @@
         random: Random,
     ) -> None:
         """
-        Prepare.
+        Set the parts of the prediction.
 
         :param settings: rates and weights.
-        :param data_centre: where this entry stands.
-        :param memory: which prompts were read where.
+        :param data_centre: the entry's data centre.
+        :param memory: which targets have prefilled which prompts.
         :param random: seeded source for sampling.
         """
         self._settings = settings
@@ -71,69 +71,78 @@
     ) -> TargetState | None:
         """Choose the target with the least predicted delay."""
         candidates = self._candidates(request, pool, now)
-        fresh = [target for target in candidates if target.target_id not in avoid]
-        has_readers = any(target.load.role == PREFILL for target in fresh)
+        untried = [target for target in candidates if target.target_id not in avoid]
+        has_prefill_engine = any(target.load.role == PREFILL for target in untried)
         return min(
-            fresh or candidates,
-            key=lambda target: self._delay(request, target, has_readers),
+            untried or candidates,
+            key=lambda target: self._delay(request, target, has_prefill_engine),
             default=None,
         )
 
     def _candidates(
         self, request: Request, pool: TargetPool, now: float
     ) -> list[TargetState]:
-        """Draw a bounded number of targets, with those that know the prompt."""
+        """
+        List the available targets to compare, a bounded number.
+
+        They are a random sample and the targets that prefilled the longest known
+        prefix of the prompt. All available targets are listed if none of these is.
+        """
         count = self._settings.sample
-        drawn = pool.sample(self._data_centre, count, self._random)
-        drawn += pool.sample_elsewhere(self._data_centre, REMOTE_SAMPLE, self._random)
-        drawn_ids = {target.target_id for target in drawn}
-        holders = self._memory.holders(request) - drawn_ids
-        drawn += [
+        sampled = pool.sample(self._data_centre, count, self._random)
+        sampled += pool.sample_elsewhere(
+            self._data_centre, REMOTE_SAMPLE_SIZE, self._random
+        )
+        sampled_ids = {target.target_id for target in sampled}
+        holders = self._memory.holders(request) - sampled_ids
+        sampled += [
             pool.targets_by_id[target_id]
             for target_id in sorted(holders)[:count]
             if target_id in pool.targets_by_id
         ]
-        available = [target for target in drawn if target.is_available(now)]
+        available = [target for target in sampled if target.is_available(now)]
         if available:
             return available
-        everyone = pool.targets_by_id.values()
-        return [target for target in everyone if target.is_available(now)]
+        all_targets = pool.targets_by_id.values()
+        return [target for target in all_targets if target.is_available(now)]
 
-    def _delay(self, request: Request, target: TargetState, has_readers: bool) -> float:
+    def _delay(
+        self, request: Request, target: TargetState, has_prefill_engine: bool
+    ) -> float:
         settings = self._settings
-        held = self._memory.expected_tokens(request, target.target_id)
-        work = max(1, request.prefill_tokens - held)
-        delay = target.prefill_delay(settings, work)
+        cached_tokens = self._memory.expected_tokens(request, target.target_id)
+        uncached_tokens = max(1, request.prefill_tokens - cached_tokens)
+        delay = target.prefill_delay(settings, uncached_tokens)
         delay += settings.stream_cost * target.streams()
         if target.data_centre != self._data_centre:
             delay += settings.remote_penalty
-        is_long = work >= settings.split_from
+        is_long = uncached_tokens >= settings.split_from
         is_prefill_engine = target.load.role == PREFILL
         if is_prefill_engine and not (is_long and settings.split):
             delay += settings.misplaced_cost
         elif is_long and not is_prefill_engine:
-            # It slows the answers under way there.
+            # A long prefill slows the streams of the same engine.
             delay += settings.interference * target.streams()
-            delay += settings.reader_preference * has_readers
+            delay += settings.reader_preference * has_prefill_engine
         elif not is_long:
-            # What is read there would slow this answer's tokens.
+            # Prefills queued there would slow the tokens of this response.
             delay += target.prefill_delay(settings, 0)
         return delay
 
 
 class LeastInFlight:
-    """Prefers the target with the fewest attempts of this entry; a baseline."""
+    """Prefers the target with the fewest attempts in flight from here; a baseline."""
 
     def choose(
         self, request: Request, pool: TargetPool, avoid: list[str], now: float
     ) -> TargetState | None:
         """Choose the target with the fewest attempts in flight."""
-        available = _suited(request, _available(pool, avoid, now))
+        available = _filter_by_role(request, _available(pool, avoid, now))
         return min(available, key=lambda target: target.in_flight, default=None)
 
 
 class RoundRobin:
-    """Takes targets in turn; a baseline."""
+    """Chooses targets in turn; a baseline."""
 
     def __init__(self) -> None:
         """Start at the first target."""
@@ -154,11 +163,11 @@
     settings: RoutingSettings, data_centre: str, memory: PrefixMemory, random: Random
 ) -> RoutingPolicy:
     """
-    Make the policy that the settings name.
+    Create the policy that the settings name.
 
-    :param settings: of routing.
-    :param data_centre: where the entry stands.
-    :param memory: which prompts were read where.
+    :param settings: routing settings.
+    :param data_centre: the entry's data centre.
+    :param memory: which targets have prefilled which prompts.
     :param random: seeded source for sampling.
     """
     if settings.policy == "round_robin":
@@ -169,13 +178,13 @@
 
 
 class Router:
-    """Finds a target for each attempt."""
+    """Chooses the target of each attempt."""
 
     def __init__(self, policy: RoutingPolicy) -> None:
         """
         Start without targets.
 
-        :param policy: preference among targets.
+        :param policy: chooses for requests without an idempotency key.
         """
         self._policy = policy
         self.pool_by_service: dict[str, TargetPool] = {}
@@ -186,61 +195,63 @@
         """
         Choose the target of one attempt.
 
-        :param request: what is to be done.
-        :param partitions: claim partitions of its service.
-        :param avoid: targets that failed this request already.
-        :param now: the time.
+        :param request: the request, or what remains of it.
+        :param partitions: number of claim partitions of its service.
+        :param avoid: names of targets to choose only if no other is available.
+        :param now: time of the timer service in seconds.
         """
         pool = self.pool_by_service.get(request.service, TargetPool())
         if request.idempotency_key:
-            target = _claim_home(request, pool, partitions, avoid, now)
+            target = _choose_claim_owner(request, pool, partitions, avoid, now)
         else:
             target = self._policy.choose(request, pool, avoid, now)
         if target is None:
             return Err(
                 NoTarget(
                     f"no target of {request.service} is available",
-                    pool.available_in(now) or NO_TARGET_PAUSE,
+                    pool.ejection_ends_in(now) or NO_TARGET_RETRY_AFTER,
                 )
             )
         return Ok(target)
 
     def change_ends_in(self, service: str, now: float) -> float | None:
         """
-        Predict when the next target of a service comes back from a planned change.
+        Predict when a planned change of one of a service's targets ends next.
 
-        :returns: seconds, 0 if it cannot be known; ``None`` if no target is changing.
+        :returns: seconds, 0 if unknown; ``None`` if no target is under a change.
         """
         pool = self.pool_by_service.get(service)
         return pool.change_ends_in(now) if pool is not None else None
 
 
-def _claim_home(
+def _choose_claim_owner(
     request: Request, pool: TargetPool, partitions: int, avoid: list[str], now: float
 ) -> TargetState | None:
     """
-    Find the target whose sidecar commits the claim.
+    Choose the target whose sidecar claims the request's idempotency key.
 
-    All entries agree on it as far as they agree on what is available; where they do
-    not, the claim itself decides.
+    All entries choose the same target as long as they see the same targets available;
+    where they differ, the claim prevents a second run.
     """
     key = call_digest(request.caller, request.service, request.idempotency_key)
     partition = partition_of(key, partitions)
     order = list(pool.in_order(ring_hash(f"{request.service}/{partition}")))
     available = [target for target in order if target.is_available(now)]
-    fresh = [target for target in available if target.target_id not in avoid]
-    return next(iter(fresh or available), None)
+    untried = [target for target in available if target.target_id not in avoid]
+    return next(iter(untried or available), None)
 
 
 def _available(pool: TargetPool, avoid: list[str], now: float) -> list[TargetState]:
-    everyone = pool.targets_by_id.values()
-    available = [target for target in everyone if target.is_available(now)]
-    fresh = [target for target in available if target.target_id not in avoid]
-    return fresh or available
+    all_targets = pool.targets_by_id.values()
+    available = [target for target in all_targets if target.is_available(now)]
+    untried = [target for target in available if target.target_id not in avoid]
+    return untried or available
 
 
-def _suited(request: Request, targets: list[TargetState]) -> list[TargetState]:
-    """Keep engines in the role ``prefill`` for long prompts, and these for them."""
+def _filter_by_role(request: Request, targets: list[TargetState]) -> list[TargetState]:
+    """Prefer engines in the role ``prefill`` for long prompts, others for the rest."""
     is_long = request.prefill_tokens >= PREFIX_TOKENS[2]
-    fits = [target for target in targets if (target.load.role == PREFILL) == is_long]
-    return fits or targets
+    matching = [
+        target for target in targets if (target.load.role == PREFILL) == is_long
+    ]
+    return matching or targets
--- a/pimentolink/targetpool.py
+++ b/pimentolink/targetpool.py
@@ -1,4 +1,4 @@
-"""The targets of a service as one entry knows them."""
+"""State of the targets of a service as seen by one entry."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 
 def ring_hash(text: str) -> int:
     """
-    Place a name on the ring.
+    Hash a name to its position on the ring.
 
     :param text: the name.
-    :returns: 64 bits.
+    :returns: 64-bit hash.
     """
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
 class TargetState:
     """
-    What one entry knows of a target.
+    State of one target as seen by one entry.
 
-    Guards ejection: after failures in a row a target gets no work for a while that
-    doubles each time, and one success clears it.
+    Decides on ejection: after a number of consecutive failures a target gets no work
+    for a time that doubles with each ejection; one success resets the counts.
     """
 
     def __init__(self, target_id: str, data_centre: str) -> None:
         """
-        Start without knowledge of load.
+        Start without a load report.
 
         :param target_id: the target's name.
-        :param data_centre: where it stands.
+        :param data_centre: the target's data centre.
         """
         self.target_id = target_id
         self.data_centre = data_centre
@@ -50,27 +50,27 @@
         self._failures = 0
         self._ejections = 0
         self._ejected_until = 0.0
-        self._turns_away_until = 0.0
+        self._suspended_until = 0.0
 
     def is_available(self, now: float) -> bool:
-        """Tell whether it may get work now."""
-        not_before = max(self._ejected_until, self._turns_away_until)
+        """Return whether the target may get work now."""
+        not_before = max(self._ejected_until, self._suspended_until)
         return self.load.accepting and now >= not_before
 
     def is_ejected(self, now: float) -> bool:
-        """Tell whether only its failures keep it from getting work."""
+        """Return whether the target gets no work only because of its failures."""
         return self.load.accepting and now < self._ejected_until
 
     def ejected_for(self, now: float) -> float:
-        """Tell for how many seconds from now it gets no work for its failures."""
+        """Return the seconds until its ejection ends."""
         return max(0.0, self._ejected_until - now)
 
-    def planned_change_took(self, now: float) -> float | None:
+    def track_planned_change(self, now: float) -> float | None:
         """
-        Take note whether the last report tells of a planned change.
+        Update the state of a planned change from the last load report.
 
-        :returns: seconds that a change took which has just ended with the target in
-            service.
+        :returns: duration in seconds of a change that has just ended with the target
+            in service; ``None`` otherwise.
         """
         began_at = self.changing_since
         if self.load.held:
@@ -82,31 +82,31 @@
         return now - began_at
 
     def reported(self, load: link_pb2.Load) -> None:
-        """Take a load report, which counts all that was sent before it."""
+        """Take a load report, which includes all work sent before it."""
         self.load = load
         self.prefill_since_report = 0
         self.sent_since_report = 0
 
     def turned_work_away(self, until: float) -> None:
         """
-        Give it no work until its next report has told why it takes none.
+        Send no work until the next load report shows why the target refused it.
 
-        :param until: when that report is here at the latest.
+        :param until: time by which that report is expected at the latest.
         """
-        self._turns_away_until = until
+        self._suspended_until = until
 
     def sent(self, prefill_tokens: int) -> None:
-        """Count work that no report shows yet."""
+        """Count an attempt that no load report includes yet."""
         self.in_flight += 1
         self.sent_since_report += 1
         self.prefill_since_report += prefill_tokens
 
     def ended(self) -> None:
-        """Count one attempt less."""
+        """Count the end of an attempt."""
         self.in_flight -= 1
 
     def succeeded(self) -> None:
-        """Clear the record of failures."""
+        """Reset the counts of failures and ejections."""
         self._failures = 0
         self._ejections = 0
 
@@ -114,7 +114,7 @@
         """
         Count a failure.
 
-        :returns: whether the target is ejected by it.
+        :returns: whether this failure ejects the target.
         """
         self._failures += 1
         if self._failures < settings.ejection_failures:
@@ -126,16 +126,16 @@
         return True
 
     def streams(self) -> int:
-        """Count answers under way or waiting there, with those sent since."""
+        """Count running and waiting streams, including those sent since the report."""
         return self.load.running + self.load.waiting + self.sent_since_report
 
     def prefill_delay(self, settings: RoutingSettings, tokens: int) -> float:
         """
-        Predict when a prompt would be read.
+        Predict how long it takes until a prompt has been prefilled.
 
-        :param settings: rates by role.
-        :param tokens: work of the prompt.
-        :returns: seconds.
+        :param settings: prefill rates by role.
+        :param tokens: prompt tokens to prefill.
+        :returns: seconds, including the prompts queued before.
         """
         rate = settings.prefill_rate
         if self.load.role == PREFILL:
@@ -148,22 +148,23 @@
 
 class TargetPool:
     """
-    The targets of one service that are linked, found without scanning them all.
+    The targets of one service that have a link to this entry.
 
-    A ring of hashed names gives each key a stable order of targets that changes
-    little when one comes or goes.
+    Lookups by name, data centre and key need no scan of all targets. Consistent
+    hashing gives each key a stable order of targets, which changes little when a
+    target is added or removed.
     """
 
     def __init__(self) -> None:
         """Start empty."""
         self.targets_by_id: dict[str, TargetState] = {}
         # Seconds that the last planned change of a target took; 0 before the first.
-        self.change_time = 0.0
+        self.last_change_duration = 0.0
         self._ids_by_data_centre: dict[str, list[str]] = {}
         self._ring: list[tuple[int, str]] = []
 
     def add(self, target: TargetState) -> None:
-        """Take a target in; does nothing if it is there."""
+        """Add a target; does nothing if it is already in the pool."""
         if target.target_id in self.targets_by_id:
             return
         self.targets_by_id[target.target_id] = target
@@ -173,7 +174,7 @@
         bisect.insort(self._ring, (ring_hash(target.target_id), target.target_id))
 
     def remove(self, target_id: str) -> None:
-        """Take a target out; does nothing if it is not there."""
+        """Remove a target; does nothing if it is not in the pool."""
         target = self.targets_by_id.pop(target_id, None)
         if target is None:
             return
@@ -182,9 +183,9 @@
 
     def replace(self, targets: list[TargetState]) -> None:
         """
-        Hold exactly these targets.
+        Replace the targets of the pool by these.
 
-        :param targets: each under its own name.
+        :param targets: the new targets, with distinct names.
         """
         wanted_by_id = {target.target_id: target for target in targets}
         for target_id, target in list(self.targets_by_id.items()):
@@ -195,22 +196,22 @@
 
     def change_ends_in(self, now: float) -> float | None:
         """
-        Predict when the next target comes back from a planned change.
+        Predict when a planned change of one of the targets ends next.
 
-        :returns: seconds, 0 if it cannot be known; ``None`` if no target is changing.
+        :returns: seconds, 0 if unknown; ``None`` if no target is under a change.
         """
         left = [
-            max(0.0, self.change_time - (now - target.changing_since))
+            max(0.0, self.last_change_duration - (now - target.changing_since))
             for target in self.targets_by_id.values()
             if target.changing_since is not None
         ]
         return min(left, default=None)
 
-    def available_in(self, now: float) -> float | None:
+    def ejection_ends_in(self, now: float) -> float | None:
         """
-        Tell when the next ejected target gets work again.
+        Return the time until the next ejection ends.
 
-        :returns: seconds; ``None`` if none is ejected.
+        :returns: seconds; ``None`` if no target is ejected.
         """
         left = [
             target.ejected_for(now)
@@ -221,10 +222,10 @@
 
     def in_order(self, key: int) -> Iterator[TargetState]:
         """
-        Walk the ring.
+        Iterate over the targets in the order of the ring.
 
-        :param key: where to begin.
-        :returns: each target once, in the key's own order.
+        :param key: position on the ring to start from.
+        :returns: each target once.
         """
         start = bisect.bisect_left(self._ring, (key, ""))
         for step in range(len(self._ring)):
@@ -233,10 +234,13 @@
 
     def sample(self, data_centre: str, count: int, random: Random) -> list[TargetState]:
         """
-        Draw targets of one data centre.
+        Sample targets of one data centre.
 
-        :param count: at most so many.
-        :returns: all of them if there are no more, else a random choice.
+        :param data_centre: the data centre.
+        :param count: maximum number of targets.
+        :param random: source of randomness.
+        :returns: all targets there if there are no more than ``count``, else a random
+            sample.
         """
         ids = self._ids_by_data_centre.get(data_centre, [])
         if len(ids) > count:
@@ -246,7 +250,7 @@
     def sample_elsewhere(
         self, data_centre: str, count: int, random: Random
     ) -> list[TargetState]:
-        """Draw targets of the other data centres, at most ``count`` of each."""
+        """Sample at most ``count`` targets of each other data centre."""
         return [
             target
             for other in self._ids_by_data_centre
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers that send badly, read slowly or vanish, on real connections."""
+"""Callers that send invalid data, read slowly or disconnect, on real connections."""
 
 import json
 import socket
@@ -18,14 +18,14 @@
 
 @pytest.fixture(scope="module")
 def fleet():
-    with Fleet() as running:
-        start_targets(running, "--step-base", "0.001")
-        running.start_entry(
+    with Fleet() as started_fleet:
+        start_targets(started_fleet, "--step-base", "0.001")
+        started_fleet.start_entry(
             "entry", "north", limits={"request_head": 1.0, "stall": 1.5}
         )
-        running.apply(configuration())
-        running.wait_ready("entry", TARGETS)
-        yield running
+        started_fleet.apply(configuration())
+        started_fleet.wait_ready("entry", TARGETS)
+        yield started_fleet
 
 
 def connect(fleet):
@@ -43,14 +43,14 @@
 def read_all(connection):
     data = b""
     try:
-        while piece := connection.recv(65536):
-            data += piece
+        while received := connection.recv(65536):
+            data += received
     except ConnectionError:
         pass
     return data
 
 
-def running(fleet):
+def count_running(fleet):
     engines = ("engine-1", "engine-2")
     return sum(call(fleet.url(name, "/load")).json["running"] for name in engines)
 
@@ -64,7 +64,7 @@
 
 
 class TestIdleConnection:
-    """A connection whose entry stood still past the idle limit, in virtual time."""
+    """A connection to an entry that stalled past the idle limit, in virtual time."""
 
     def channel(self):
         limits = CallerLimits(request_head=1.0)
@@ -119,7 +119,7 @@
     with connect(fleet) as connection:
         connection.sendall(streaming_request(5_000))
         assert connection.recv(100)
-    wait_until(lambda: running(fleet) == 0, within=5.0, what="the cancel")
+    wait_until(lambda: count_running(fleet) == 0, within=5.0, what="the cancel")
 
 
 def test_caller_that_never_reads_is_given_up(fleet):
@@ -133,7 +133,7 @@
             return b"caller_too_slow" in call(fleet.url("entry", "/metrics")).body
 
         wait_until(is_given_up, within=40.0, what="the slow caller's end")
-    wait_until(lambda: running(fleet) == 0, within=5.0, what="the cancel")
+    wait_until(lambda: count_running(fleet) == 0, within=5.0, what="the cancel")
 
 
 def test_refusal_comes_at_once_and_says_when_to_come_back(fleet):
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Requests over several attempts, in virtual time."""
+"""Dispatching of requests over several attempts, in virtual time."""
 
 import pytest
 
@@ -9,9 +9,9 @@
 
 @pytest.fixture
 def world():
-    found = VirtualWorld()
-    found.start_entry("one", "north")
-    return found
+    virtual_world = VirtualWorld()
+    virtual_world.start_entry("one", "north")
+    return virtual_world
 
 
 def test_lost_end_of_a_whole_answer_brings_no_token_twice(world, monkeypatch):
@@ -29,26 +29,31 @@
 
 
 class TestHandOver:
-    def long_request(self, world):
+    def send_long_request(self, world):
         world.network.targets["engine-2"].role = "prefill"
         world.set_role("engine-2", "prefill")
         world.pass_time(5.0)
         submitted = []
         for sidecar in world.network.sidecars.values():
-            take = sidecar._executor.submit
-
-            def note(link, submit, take=take, name=sidecar._settings.target):
-                submitted.append((name, submit))
-                take(link, submit)
-
-            sidecar._executor.submit = note
+            original_submit = sidecar._executor.submit
+
+            def record_submit(
+                link,
+                submit,
+                original_submit=original_submit,
+                target_id=sidecar._settings.target,
+            ):
+                submitted.append((target_id, submit))
+                original_submit(link, submit)
+
+            sidecar._executor.submit = record_submit
         world.send("long " * 2_000, "claims", "one", None, 12)
         return submitted
 
     def test_reader_answers_one_token_and_another_the_rest(self, world):
-        submitted = self.long_request(world)
+        submitted = self.send_long_request(world)
         world.pass_time(5.0)
-        assert [name for name, _ in submitted] == ["engine-2", "engine-1"]
+        assert [target_id for target_id, _ in submitted] == ["engine-2", "engine-1"]
         first, second = (submit for _, submit in submitted)
         assert (first.prefill_only, second.prefill_only) == (True, False)
         assert len(second.resume_tokens) == 1
@@ -56,14 +61,14 @@
         assert world.is_outcome("long " * 2_000, "whole")
 
     def test_hand_over_costs_no_retry_and_is_done_once(self, world):
-        submitted = self.long_request(world)
+        submitted = self.send_long_request(world)
         world.pass_time(5.0)
         assert len(submitted) == 2
         assert world.network.entries["one"].dispatcher.retries == 0
 
 
 class FailingStream:
-    """An answer that turns out to be another request's."""
+    """A stream that fails because its answer belongs to another request."""
 
     def __init__(self, engine, call, listener):
         failure = CrossedAnswer("another request's")
@@ -74,7 +79,7 @@
 
 
 class TestPlannedChange:
-    """One engine fails its requests, the other is under an order."""
+    """One engine fails all requests while the other is under an order."""
 
     @pytest.fixture
     def engines(self, world, monkeypatch):
@@ -86,8 +91,8 @@
         )
         return engines
 
-    def change(self, world, seconds):
-        """Have an order to the second engine begin."""
+    def start_change(self, world, seconds):
+        """Start an order at the second engine and wait until it has begun."""
         engine = world.network.targets["engine-2"]
         engine.order_time = seconds
         world.set_role("engine-2", "decode" if engine.role == "mixed" else "mixed")
@@ -95,8 +100,8 @@
             world.pass_time(0.05)
 
     def test_request_waits_for_the_end_of_the_change(self, world, engines):
-        """It used up its attempts at the engine that failed it, and got a 502."""
-        self.change(world, 3.0)
+        """Guards against a 502 after all attempts were used at the failing engine."""
+        self.start_change(world, 3.0)
         for name in ("a", "b", "c"):
             world.send(name, "claims", "one", None, 5)
         world.pass_time(2.0)
@@ -110,7 +115,7 @@
         self, world, engines
     ):
         for seconds in (90.0, 300.0):
-            self.change(world, seconds)
+            self.start_change(world, seconds)
             if seconds == 90.0:
                 world.pass_time(95.0)
         world.send("a", "claims", "one", None, 5)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,4 +1,4 @@
-"""Each proof fails once its mechanism is taken out."""
+"""Checks that each scenario fails when the mechanism it verifies is disabled."""
 
 from pathlib import Path
 
@@ -17,48 +17,48 @@
 from tests.scenario import load, run
 from tests.worlds import VirtualWorld
 
-FOLDER = Path(__file__).parent / "scenarios"
+SCENARIO_FOLDER = Path(__file__).parent / "scenarios"
 
 
-async def no_waiting(keeper):
+async def state_without_waiting(keeper):
     return await keeper._engine.state()
 
 
-def no_hold(gate):
+def skip_hold(target_executor):
     return succeed(None)
 
 
-def no_joining(self, attempt):
+def never_join(self, attempt):
     return False
 
 
-async def no_loading(self):
+async def take_over_without_claims(self):
     self._table.claims_by_key.clear()
     stored = await self._store.get(self._path)
     self._revision = stored.revision
     await self._commit()
 
 
-def all_tokens(self, offset, tokens):
+def accept_all_tokens(self, offset, tokens):
     self.tokens += tokens
     return Ok(tokens)
 
 
-async def no_finishing(self):
+async def skip_finishing(self):
     return None
 
 
-def not_run_always(failure, progress):
+def always_not_run(failure, progress):
     return NotRun(str(failure))
 
 
-def never_draining(self):
+def accept_while_draining(self):
     return not self.target_is_lost
 
 
-def resume_from_nothing(monkeypatch):
-    """The engine begins anew, and what it repeats is passed on."""
-    monkeypatch.setattr(Progress, "accept", all_tokens)
+def resume_without_tokens(monkeypatch):
+    """Let the engine generate from the first token, and forward repeated tokens."""
+    monkeypatch.setattr(Progress, "accept", accept_all_tokens)
     original = dispatcher.Dispatcher._submission
 
     def submission(self, progress, attempt_id, span):
@@ -69,67 +69,69 @@
     monkeypatch.setattr(dispatcher.Dispatcher, "_submission", submission)
 
 
-def no_noticing(monkeypatch):
-    """Neither the entry nor the sidecar notices an engine that stands still."""
+def ignore_stalls(monkeypatch):
+    """Let neither the entry nor the sidecar detect a stalled engine."""
     monkeypatch.setattr(dispatcher.Dispatcher, "move_stalled", lambda self: None)
     monkeypatch.setattr(executor.Executor, "lose_target", lambda self: None)
 
 
-def patch(owner, name, value):
+def replace_attribute(owner, name, value):
     return lambda monkeypatch: monkeypatch.setattr(owner, name, value)
 
 
-WITHOUT = {
+MECHANISMS = {
     "waiting for the engine": (
         "order_outlives_its_sidecar",
-        patch(OrderKeeper, "_idle_state", no_waiting),
+        replace_attribute(OrderKeeper, "_idle_state", state_without_waiting),
     ),
     "holding work before an order": (
         "planned_changes_cut_nothing",
-        patch(executor.Executor, "hold", no_hold),
+        replace_attribute(executor.Executor, "hold", skip_hold),
     ),
     "joining a call under way": (
         "call_under_way_is_joined",
-        patch(ClaimedCalls, "join", no_joining),
+        replace_attribute(ClaimedCalls, "join", never_join),
     ),
     "reading claims at take-over": (
         "call_survives_no_sidecar_twice",
-        patch(ClaimPartition, "_take_over", no_loading),
+        replace_attribute(ClaimPartition, "_take_over", take_over_without_claims),
     ),
     "claiming before the call": (
         "call_while_service_is_down",
-        patch(ClaimPartition, "claim", lambda *_: succeed(Ok(None))),
+        replace_attribute(ClaimPartition, "claim", lambda *_: succeed(Ok(None))),
     ),
     "knowing claims by key": (
         "call_survives_no_sidecar_twice",
-        patch(ClaimTable, "add", lambda *_: Ok(None)),
+        replace_attribute(ClaimTable, "add", lambda *_: Ok(None)),
     ),
     "resuming at the token's offset": (
         "engine_crashes_mid_answer",
-        resume_from_nothing,
+        resume_without_tokens,
     ),
     "moving stalled answers on": (
         "engine_paused_mid_answer",
-        no_noticing,
+        ignore_stalls,
     ),
     "finishing before the end": (
         "entry_stops_whole",
-        patch(Entry, "_finish_work", no_finishing),
+        replace_attribute(Entry, "_finish_work", skip_finishing),
     ),
     "remembering that it may have run": (
         "target_dies_under_a_call",
-        patch(dispatcher, "final_failure", not_run_always),
+        replace_attribute(dispatcher, "final_failure", always_not_run),
     ),
     "refusing work while leaving": (
         "leaving_target_gets_nothing",
-        patch(executor.Executor, "is_accepting", property(never_draining)),
+        replace_attribute(
+            executor.Executor, "is_accepting", property(accept_while_draining)
+        ),
     ),
 }
 
 
-@pytest.mark.parametrize("mechanism", WITHOUT)
+@pytest.mark.parametrize("mechanism", MECHANISMS)
 def test_proof_fails_without(mechanism, monkeypatch):
-    scenario, take_out = WITHOUT[mechanism]
-    take_out(monkeypatch)
+    scenario, disable = MECHANISMS[mechanism]
+    disable(monkeypatch)
     with pytest.raises(AssertionError):
-        run(load(FOLDER / f"{scenario}.scenario"), VirtualWorld())
+        run(load(SCENARIO_FOLDER / f"{scenario}.scenario"), VirtualWorld())
