--- a/pimentolink/router.py
+++ b/pimentolink/router.py
@@ -145,7 +145,7 @@
     """Chooses targets in turn; a baseline."""
 
     def __init__(self) -> None:
-        """Start at the first target."""
+        """Start before the first choice."""
         self._turn = 0
 
     def choose(
