--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -340,7 +340,7 @@
         for _ in range(30):
             slow.start_prefill("r", 1_000, (), 0.0)
             slow.end_prefill("r", True, 0.5)
-            slow._last_end = 0.0
+            slow._last_prefill_end = 0.0
         queue = queue_over(test_fleet)
         queue.add(prompt("p"), 0.0)
         _, placement = queue.pop_next(0.0)
