--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems: tools for tests, never the product."""
+"""Stand-ins for external systems, for tests only; not part of the product."""
--- a/standins/instance_list.py
+++ b/standins/instance_list.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's lagging list of instances."""
+"""Stand-in for the platform's instance list, whose readers see changes late."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 
 class InstanceListStandIn:
-    """Registrations that readers see only after a lag."""
+    """Registrations that become visible to readers after a delay."""
 
     def __init__(self, lag: float) -> None:
         """
-        Start empty.
+        Create an empty list.
 
-        :param lag: seconds until a change shows.
+        :param lag: seconds until a change is visible.
         """
         self._lag = lag
-        self._shown_by_name: dict[str, dict[str, Any]] = {}
+        self._visible_by_id: dict[str, dict[str, Any]] = {}
         self.routes = Routes()
         self.routes.add("GET", "/v1/catalog/service/", self.read)
         self.routes.add("PUT", "/v1/agent/service/register", self.register)
         self.routes.add("PUT", "/v1/agent/service/deregister/", self.deregister)
 
     def read(self, request: Request) -> None:
-        """List what shows of one role."""
+        """List the visible instances of one role."""
         role = request.path.decode().rpartition("/")[2]
-        shown = self._shown_by_name.values()
-        answer(request, [item for item in shown if item["ServiceName"] == role])
+        visible = self._visible_by_id.values()
+        answer(request, [item for item in visible if item["ServiceName"] == role])
 
     def register(self, request: Request) -> None:
-        """Take a registration; it shows after the lag."""
+        """Accept a registration, which becomes visible after the delay."""
         body = body_of(request)
         item = {
             "ServiceID": body["ID"],
@@ -41,13 +41,13 @@
             "ServicePort": body["Port"],
             "ServiceMeta": body["Meta"],
         }
-        reactor.callLater(self._lag, self._shown_by_name.update, {body["ID"]: item})
+        reactor.callLater(self._lag, self._visible_by_id.update, {body["ID"]: item})
         answer(request, {})
 
     def deregister(self, request: Request) -> None:
-        """Drop a registration; it shows until the lag has passed."""
-        name = request.path.decode().rpartition("/")[2]
-        reactor.callLater(self._lag, self._shown_by_name.pop, name, None)
+        """Remove a registration, which stays visible until the delay has passed."""
+        instance_id = request.path.decode().rpartition("/")[2]
+        reactor.callLater(self._lag, self._visible_by_id.pop, instance_id, None)
         answer(request, {})
 
 
--- a/standins/key_value.py
+++ b/standins/key_value.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's key-value service, with faults on demand."""
+"""Stand-in for the platform's key-value service, with fault injection."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 from standins.web import Routes, answer, argument, body_of, reactor, serve
 
-LARGEST_VALUE = 1_000_000
+MAX_VALUE_BYTES = 1_000_000
 
 
 class KeyValueStandIn:
-    """Keys with revisions; blocking reads; compare-and-swap transactions."""
+    """Keys with revisions, blocking reads, compare-and-swap writes and sessions."""
 
     def __init__(self) -> None:
-        """Start empty and without faults."""
+        """Create an empty store without faults."""
         self._index = 1
         self._data_by_key: dict[str, tuple[str, int]] = {}
-        self._watching: list[tuple[str, int, Request]] = []
+        self._watches: list[tuple[str, int, Request]] = []
         self._session_by_key: dict[str, str] = {}
         self._expiry_by_session: dict[str, tuple[float, float]] = {}
         self.faults: dict[str, Any] = {"down": False, "delay": 0.0, "lose_answers": 0}
@@ -35,44 +35,44 @@
         self.routes.add("GET", "/calls", lambda request: answer(request, self.calls))
 
     def set_faults(self, request: Request) -> None:
-        """Switch faults on or off."""
+        """Enable or disable fault injection."""
         self.faults.update(body_of(request))
         answer(request, self.faults)
 
     def read(self, request: Request) -> None:
-        """Answer a read, or keep a watch waiting."""
-        if self._fails(request):
+        """Respond to a read, or register a watch if the key has not changed."""
+        if self._refuse_if_down(request):
             return
         key = request.path.decode().removeprefix("/v1/kv/")
         index = int(argument(request, "index", "0"))
         self.calls["watches" if index else "reads"] += 1
         _, modified = self._data_by_key.get(key, ("", 0))
         if index and modified <= index:
-            self._wait(request, key, index)
+            self._add_watch(request, key, index)
         else:
-            self._later(lambda: self._answer_read(request, key))
+            self._after_delay(lambda: self._respond_to_read(request, key))
 
     def write(self, request: Request) -> None:
-        """Make a compare-and-swap, and lose the answer if so ordered."""
-        if self._fails(request):
+        """Apply a compare-and-swap; drop the response if ``lose_answers`` is set."""
+        if self._refuse_if_down(request):
             return
         self.calls["writes"] += 1
         operation = body_of(request)[0]["KV"]
-        self._later(lambda: self._swap(request, operation))
+        self._after_delay(lambda: self._swap(request, operation))
 
     def create_session(self, request: Request) -> None:
-        """Make a session that lapses unless renewed."""
-        if self._fails(request):
+        """Create a session that expires unless it is renewed."""
+        if self._refuse_if_down(request):
             return
         self.calls["writes"] += 1
         seconds = float(body_of(request)["TTL"].removesuffix("s"))
         session = uuid4().hex
         self._expiry_by_session[session] = (reactor.seconds() + seconds, seconds)
-        self._later(lambda: answer(request, {"ID": session}))
+        self._after_delay(lambda: answer(request, {"ID": session}))
 
     def renew_session(self, request: Request) -> None:
-        """Renew a session, if it has not lapsed."""
-        if self._fails(request):
+        """Renew a session that has not expired."""
+        if self._refuse_if_down(request):
             return
         self.calls["writes"] += 1
         session = request.path.decode().rpartition("/")[2]
@@ -80,21 +80,21 @@
         if is_live:
             seconds = self._expiry_by_session[session][1]
             self._expiry_by_session[session] = (reactor.seconds() + seconds, seconds)
-        self._later(lambda: answer(request, [], 200 if is_live else 404))
+        self._after_delay(lambda: answer(request, [], 200 if is_live else 404))
 
     def acquire(self, request: Request) -> None:
-        """Give a key's lock to a session, if no live one has it."""
-        if self._fails(request):
+        """Lock a key for a session unless another live session holds the lock."""
+        if self._refuse_if_down(request):
             return
         self.calls["writes"] += 1
         key = request.path.decode().removeprefix("/v1/kv/")
         session = argument(request, "acquire")
         holder = self._session_by_key.get(key, "")
-        is_taken = holder != session and self._is_live(holder)
-        if not is_taken and self._is_live(session):
+        is_locked = holder != session and self._is_live(holder)
+        if not is_locked and self._is_live(session):
             self._session_by_key[key] = session
         is_held = self._session_by_key.get(key) == session
-        self._later(lambda: answer(request, is_held))
+        self._after_delay(lambda: answer(request, is_held))
 
     def _is_live(self, session: str) -> bool:
         expiry, _ = self._expiry_by_session.get(session, (0.0, 0.0))
@@ -103,14 +103,14 @@
     def _swap(self, request: Request, operation: dict[str, Any]) -> None:
         key, value = operation["Key"], operation["Value"]
         _, modified = self._data_by_key.get(key, ("", 0))
-        if len(base64.b64decode(value)) > LARGEST_VALUE:
+        if len(base64.b64decode(value)) > MAX_VALUE_BYTES:
             answer(request, {"Errors": [{"What": "value too large"}]}, 413)
             return
         swapped = modified == operation["Index"]
         if swapped:
             self._index += 1
             self._data_by_key[key] = (value, self._index)
-            self._wake(key)
+            self._notify_watches(key)
         if self.faults["lose_answers"] > 0:
             self.faults["lose_answers"] -= 1
             request.transport.abortConnection()  # type: ignore[union-attr]
@@ -120,29 +120,29 @@
         else:
             answer(request, {"Results": None, "Errors": [{"What": "index"}]}, 409)
 
-    def _wait(self, request: Request, key: str, index: int) -> None:
-        waiting = (key, index, request)
-        self._watching.append(waiting)
-        request.notifyFinish().addErrback(lambda _: self._drop(waiting))
+    def _add_watch(self, request: Request, key: str, index: int) -> None:
+        watch = (key, index, request)
+        self._watches.append(watch)
+        request.notifyFinish().addErrback(lambda _: self._remove_watch(watch))
         seconds = float(argument(request, "wait", "60s").removesuffix("s"))
-        reactor.callLater(seconds, self._time_out, waiting)
+        reactor.callLater(seconds, self._expire_watch, watch)
 
-    def _drop(self, waiting: tuple[str, int, Request]) -> None:
-        if waiting in self._watching:
-            self._watching.remove(waiting)
+    def _remove_watch(self, watch: tuple[str, int, Request]) -> None:
+        if watch in self._watches:
+            self._watches.remove(watch)
 
-    def _time_out(self, waiting: tuple[str, int, Request]) -> None:
-        if waiting in self._watching:
-            self._watching.remove(waiting)
-            self._answer_read(waiting[2], waiting[0])
+    def _expire_watch(self, watch: tuple[str, int, Request]) -> None:
+        if watch in self._watches:
+            self._watches.remove(watch)
+            self._respond_to_read(watch[2], watch[0])
 
-    def _wake(self, key: str) -> None:
-        woken = [waiting for waiting in self._watching if waiting[0] == key]
-        for waiting in woken:
-            self._watching.remove(waiting)
-            self._answer_read(waiting[2], key)
+    def _notify_watches(self, key: str) -> None:
+        notified = [watch for watch in self._watches if watch[0] == key]
+        for watch in notified:
+            self._watches.remove(watch)
+            self._respond_to_read(watch[2], key)
 
-    def _answer_read(self, request: Request, key: str) -> None:
+    def _respond_to_read(self, request: Request, key: str) -> None:
         headers = {"x-consul-index": str(self._index)}
         if key not in self._data_by_key:
             answer(request, [], 404, headers)
@@ -151,10 +151,10 @@
         found = {"Key": key, "Value": value, "ModifyIndex": modified}
         answer(request, [found], 200, headers)
 
-    def _later(self, call: Any) -> None:
+    def _after_delay(self, call: Any) -> None:
         reactor.callLater(self.faults["delay"], call)
 
-    def _fails(self, request: Request) -> bool:
+    def _refuse_if_down(self, request: Request) -> bool:
         if not self.faults["down"]:
             return False
         self.calls["refused"] += 1
--- a/standins/older_system.py
+++ b/standins/older_system.py
@@ -1,4 +1,4 @@
-"""Stand-in for the older serving system: answers everything by itself."""
+"""Stand-in for the older serving system; it serves every request itself."""
 
 from __future__ import annotations
 
@@ -12,23 +12,25 @@
 
 
 class OlderSystemStandIn:
-    """Counts what it is asked and answers at once."""
+    """Counts requests and responds to each immediately."""
 
     def __init__(self) -> None:
-        """Start with nothing asked."""
-        self._asked: Counter[str] = Counter()
+        """Create a system that has received no requests."""
+        self._request_counts: Counter[str] = Counter()
         self.routes = Routes()
-        self.routes.add("GET", "/asked", lambda request: answer(request, self._asked))
+        self.routes.add(
+            "GET", "/asked", lambda request: answer(request, self._request_counts)
+        )
         self.routes.add("POST", "/v1/", self.complete)
         self.routes.add("POST", "/", self.call)
 
     def complete(self, request: Request) -> None:
-        """Stream a completion."""
+        """Stream a completion in server-sent events."""
         body = body_of(request)
-        self._asked["completions"] += 1
-        wanted = int(body.get("max_tokens") or 16)
+        self._request_counts["completions"] += 1
+        token_count = int(body.get("max_tokens") or 16)
         request.setHeader("content-type", "text/event-stream")
-        for index in range(wanted):
+        for index in range(token_count):
             choice = {"index": 0, "text": token_at(prompt_of(body), index)}
             request.write(b"data: " + json.dumps({"choices": [choice]}).encode())
             request.write(b"\n\n")
@@ -36,8 +38,8 @@
         request.finish()
 
     def call(self, request: Request) -> None:
-        """Answer a plain call."""
-        self._asked[content_of(request).decode()] += 1
+        """Respond to a call of a plain service."""
+        self._request_counts[content_of(request).decode()] += 1
         answer(request, {"older": True})
 
 
--- a/standins/plain_service.py
+++ b/standins/plain_service.py
@@ -10,32 +10,34 @@
 
 
 class PlainServiceStandIn:
-    """Runs a call after a while, whether or not its asker still waits."""
+    """Runs each call to its end, even if its client has disconnected."""
 
     def __init__(self, duration: float) -> None:
         """
-        Start with nothing run.
+        Create a service that has run no calls.
 
         :param duration: seconds that a call takes.
         """
         self.duration = duration
-        self._runs: Counter[str] = Counter()
+        self._run_counts: Counter[str] = Counter()
         self.routes = Routes()
         self.routes.add("GET", "/health", lambda request: answer(request, {}))
-        self.routes.add("GET", "/runs", lambda request: answer(request, self._runs))
+        self.routes.add(
+            "GET", "/runs", lambda request: answer(request, self._run_counts)
+        )
         self.routes.add("PUT", "/duration", self.set_duration)
         self.routes.add("POST", "/", self.call)
         self.routes.add("GET", "/", self.call)
 
     def set_duration(self, request: Request) -> None:
-        """Change how long calls take."""
+        """Set how long a call takes, in seconds."""
         self.duration = float(body_of(request))
         answer(request, {})
 
     def call(self, request: Request) -> None:
-        """Run one call."""
+        """Count a call and respond after its duration."""
         content = content_of(request).decode()
-        self._runs[content or request.path.decode()] += 1
+        self._run_counts[content or request.path.decode()] += 1
         echo = request.getHeader("x-request-id") or ""
         request.notifyFinish().addErrback(lambda _: None)
         value = {"ran": content, "path": request.uri.decode()}
--- a/standins/platform_engine.py
+++ b/standins/platform_engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for an engine or plain service of the users' platform, with faults."""
+"""Stand-in for an engine or plain service of the platform, with fault injection."""
 
 from __future__ import annotations
 
@@ -14,35 +14,36 @@
 
 from standins.web import Routes, answer, body_of, content_of, listen, parse, reactor
 
-ID = "Pimentolink-Request-Id"
-NOT_RUN = {"Pimentolink-Not-Executed": "1"}
-# Seconds from the begin of a fatal run until the process ends.
-CRASH_AFTER = 0.03
+REQUEST_ID_HEADER = "Pimentolink-Request-Id"
+NOT_EXECUTED_HEADERS = {"Pimentolink-Not-Executed": "1"}
+# Seconds from the start of a fatal run until the process exits.
+CRASH_DELAY = 0.03
 
 
 class PlatformEngineStandIn:
     """
-    Reads prompts, writes streams of events, answers calls, takes orders.
+    Prefills prompts, streams events, runs plain calls and accepts orders.
 
-    Faults: ``reject`` says that requests did not run; ``break_after`` resets a stream
-    after so many events; ``status`` answers calls with it; ``wrong_id`` answers under
-    another request's id; ``silent`` takes requests and never answers; ``fatal`` ends
-    the process as it begins to run a request with that body, before its answer ends.
+    Faults: ``reject`` rejects requests as not executed; ``break_after`` resets a stream
+    after that many events; ``status`` is the status of responses to plain calls;
+    ``wrong_id`` responds with another request's id; ``silent`` accepts requests and
+    never responds; ``fatal`` ends the process when it starts to run a request with that
+    body, before the response is complete.
     """
 
     def __init__(self, options: Any) -> None:
-        """Start in the role given."""
+        """Create an idle target in the configured role."""
         self.instance = options.instance
-        self.born = int(time.time() * 1000)
+        self.started_ms = int(time.time() * 1000)
         self.phase = options.phase
-        self.pieces = options.pieces
-        self.gap = options.gap
+        self.events_per_stream = options.pieces
+        self.delay = options.gap
         self.sequence = 0
         self.handles: set[str] = set()
         self.runs: Counter[str] = Counter()
         self.reads: Counter[str] = Counter()
-        self.parts: dict[str, int] = {}
-        self.left: list[str] = []
+        self.tokens_by_block: dict[str, int] = {}
+        self.disconnected: list[str] = []
         self.headers: dict[str, dict[str, str]] = {}
         self.faults: dict[str, Any] = {
             "reject": False,
@@ -54,53 +55,57 @@
         }
         self.routes = Routes()
         self.routes.add("PUT", "/faults", self.set_faults)
-        self.routes.add("GET", "/runs", self.tell_runs)
+        self.routes.add("GET", "/runs", self.report_runs)
         self.routes.add("GET", "/report", self.report)
-        self.routes.add("GET", "/kv-list", self.list_parts)
+        self.routes.add("GET", "/kv-list", self.list_cached_blocks)
         self.routes.add("POST", "/order", self.order)
-        self.routes.add("DELETE", "/kv-handle/", self.drop)
-        self.routes.add("POST", "/", self.take)
-        self.routes.add("GET", "/", self.take)
+        self.routes.add("DELETE", "/kv-handle/", self.release_handle)
+        self.routes.add("POST", "/", self.handle_request)
+        self.routes.add("GET", "/", self.handle_request)
 
     def _log(self, event: str, name: str, **fields: Any) -> None:
-        """Write what happened to standard output, which outlives this process."""
-        told = {"event": event, "name": name, "at": time.time(), **fields}
-        # print() may write the newline separately; a kill in between omits it.
-        sys.stdout.write(json.dumps(told) + "\n")
+        """Log an event to standard output, which is kept if this process crashes."""
+        record = {"event": event, "name": name, "at": time.time(), **fields}
+        # print() may write the newline separately; a kill in between would omit it.
+        sys.stdout.write(json.dumps(record) + "\n")
         sys.stdout.flush()
 
     def set_faults(self, request: Request) -> None:
-        """Switch faults on or off."""
+        """Enable or disable fault injection."""
         self.faults.update(body_of(request))
         answer(request, self.faults)
 
-    def tell_runs(self, request: Request) -> None:
-        """Tell what ran here, with which headers, and whose asker left early."""
-        told = {
+    def report_runs(self, request: Request) -> None:
+        """Report the runs, their headers and the requests whose client disconnected."""
+        reply = {
             "runs": self.runs,
             "reads": self.reads,
             "headers": self.headers,
-            "left": self.left,
+            "left": self.disconnected,
         }
-        answer(request, told)
+        answer(request, reply)
 
-    def list_parts(self, request: Request) -> None:
-        """Tell what memory holds."""
-        held = [["", name, tokens, "m"] for name, tokens in self.parts.items()]
-        answer(request, {"epoch": 1, "next": 1, "held": held, "born": self.born})
+    def list_cached_blocks(self, request: Request) -> None:
+        """List the prompt blocks in the KV cache."""
+        entries = [
+            ["", block, tokens, "m"] for block, tokens in self.tokens_by_block.items()
+        ]
+        answer(
+            request, {"epoch": 1, "next": 1, "held": entries, "born": self.started_ms}
+        )
 
     def report(self, request: Request) -> None:
-        """Tell the role and the orders accepted."""
-        told = {
+        """Report the role and the sequence number of the last accepted order."""
+        reply = {
             "phase": self.phase,
             "busy": False,
             "sequence": self.sequence,
-            "born": self.born,
+            "born": self.started_ms,
         }
-        answer(request, told)
+        answer(request, reply)
 
     def order(self, request: Request) -> None:
-        """Change the role, if the order expects what is."""
+        """Change the role if the order expects the current sequence number."""
         body = body_of(request)
         if body.get("expected") != self.sequence:
             answer(request, {"error": "sequence"}, 409)
@@ -110,95 +115,111 @@
         self._log("order", body["holder"], fence=body["fencingToken"])
         answer(request, {}, 202)
 
-    def drop(self, request: Request) -> None:
-        """Free a prompt that was read."""
+    def release_handle(self, request: Request) -> None:
+        """Release the KV cache of a prefilled prompt."""
         self.handles.discard(request.path.decode().rpartition("/")[2])
         answer(request, {})
 
-    def take(self, request: Request) -> None:
-        """Take a request, or refuse it."""
-        name = request.getHeader(ID) or ""
-        self.headers[name] = {
+    def handle_request(self, request: Request) -> None:
+        """Run a request, or reject it."""
+        request_id = request.getHeader(REQUEST_ID_HEADER) or ""
+        self.headers[request_id] = {
             key.decode(): values[-1].decode()
             for key, values in request.requestHeaders.getAllRawHeaders()
         }
-        request.notifyFinish().addErrback(lambda _: self.left.append(name))
+        request.notifyFinish().addErrback(
+            lambda _: self.disconnected.append(request_id)
+        )
         expected = request.getHeader("Pimentolink-Expect-Instance")
         if expected not in (None, self.instance):
             answer(request, {}, 421, {"Pimentolink-Instance-Id": self.instance})
         elif self.faults["silent"]:
             return
         elif self.faults["reject"]:
-            answer(request, {"error": "full"}, 503, {ID: name, **NOT_RUN})
+            answer(
+                request,
+                {"error": "full"},
+                503,
+                {REQUEST_ID_HEADER: request_id, **NOT_EXECUTED_HEADERS},
+            )
         elif request.getHeader("Pimentolink-Stage") == "prefill":
-            self._read(request, name)
+            self._prefill(request, request_id)
         elif request.getHeader("Pimentolink-Prompt-Prefix"):
-            self._write(request, name)
+            self._decode(request, request_id)
         else:
-            self._call(request, name)
-
-    def _read(self, request: Request, name: str) -> None:
-        self.reads[name] += 1
-        self._log("read", name)
-        parts = request.getHeader("Pimentolink-Prompt-Prefix") or ""
-        for part in parts.split(","):
-            part_id, _, tokens = part.partition(":")
-            self.parts[part_id] = int(tokens or 0)
+            self._run_call(request, request_id)
+
+    def _prefill(self, request: Request, request_id: str) -> None:
+        self.reads[request_id] += 1
+        self._log("read", request_id)
+        blocks = request.getHeader("Pimentolink-Prompt-Prefix") or ""
+        for block in blocks.split(","):
+            block_id, _, tokens = block.partition(":")
+            self.tokens_by_block[block_id] = int(tokens or 0)
         handle = uuid4().hex[:12]
         self.handles.add(handle)
-        told = {"kvHandle": handle, "tokens": 1, "version": 1}
-        reactor.callLater(self.gap, answer, request, told, 200, {ID: name})
+        reply = {"kvHandle": handle, "tokens": 1, "version": 1}
+        reactor.callLater(
+            self.delay, answer, request, reply, 200, {REQUEST_ID_HEADER: request_id}
+        )
 
-    def _call(self, request: Request, name: str) -> None:
+    def _run_call(self, request: Request, request_id: str) -> None:
         body = content_of(request).decode()
-        if self._is_crashing(name, body):
+        if self._record_run(request_id, body):
             return
-        shown = uuid4().hex if self.faults["wrong_id"] else name
-        headers = {ID: shown, "Pimentolink-Response-Signature": f"signed-{name}"}
-        told = {"name": name, "body": body, "path": request.uri.decode()}
+        reported_id = uuid4().hex if self.faults["wrong_id"] else request_id
+        headers = {
+            REQUEST_ID_HEADER: reported_id,
+            "Pimentolink-Response-Signature": f"signed-{request_id}",
+        }
+        reply = {"name": request_id, "body": body, "path": request.uri.decode()}
         status = self.faults["status"]
-        reactor.callLater(self.gap, answer, request, told, status, headers)
+        reactor.callLater(self.delay, answer, request, reply, status, headers)
 
-    def _write(self, request: Request, name: str) -> None:
+    def _decode(self, request: Request, request_id: str) -> None:
         source = request.getHeader("Pimentolink-Kv-Source")
         if source is None and self.phase != "decode":
             answer(request, {}, 421, {"Pimentolink-Instance-Id": self.instance})
             return
-        is_crashing = self._is_crashing(name, content_of(request).decode())
-        request.setHeader(ID, name)
-        request.setHeader("Pimentolink-Response-Signature", f"signed-{name}")
+        is_crashing = self._record_run(request_id, content_of(request).decode())
+        request.setHeader(REQUEST_ID_HEADER, request_id)
+        request.setHeader("Pimentolink-Response-Signature", f"signed-{request_id}")
         request.setHeader("Content-Type", "text/event-stream")
-        last = int(request.getHeader("Last-Event-Id") or 0)
+        last_id = int(request.getHeader("Last-Event-Id") or 0)
         if is_crashing:
-            request.write(f"id: {last + 1}\ndata: {{}}\n\n".encode())
+            request.write(f"id: {last_id + 1}\ndata: {{}}\n\n".encode())
             return
-        self._piece(request, name, last + 1, last)
+        self._write_event(request, request_id, last_id + 1, last_id)
 
-    def _is_crashing(self, name: str, body: str) -> bool:
-        """Begin to run a request; tell whether this process ends by it."""
-        self.runs[name] += 1
-        self._log("run", name)
+    def _record_run(self, request_id: str, body: str) -> bool:
+        """Record the start of a run; return whether it will end this process."""
+        self.runs[request_id] += 1
+        self._log("run", request_id)
         if not body or body != self.faults["fatal"]:
             return False
-        self._log("crash", name)
-        reactor.callLater(CRASH_AFTER, os._exit, 1)
+        self._log("crash", request_id)
+        reactor.callLater(CRASH_DELAY, os._exit, 1)
         return True
 
-    def _piece(self, request: Request, name: str, number: int, last: int) -> None:
+    def _write_event(
+        self, request: Request, request_id: str, event_id: int, last_id: int
+    ) -> None:
         if request._disconnected:
             return
         break_after = self.faults["break_after"]
-        if break_after and number - last > break_after:
+        if break_after and event_id - last_id > break_after:
             self.faults["break_after"] = 0
-            request.write(f"id: {number}\nda".encode())
+            request.write(f"id: {event_id}\nda".encode())
             reactor.callLater(0.05, request.transport.abortConnection)  # type: ignore[union-attr]
             return
-        if number > self.pieces:
+        if event_id > self.events_per_stream:
             request.finish()
             return
-        data = json.dumps({"request": name, "piece": number})
-        request.write(f"id: {number}\ndata: {data}\n\n".encode())
-        reactor.callLater(self.gap, self._piece, request, name, number + 1, last)
+        data = json.dumps({"request": request_id, "piece": event_id})
+        request.write(f"id: {event_id}\ndata: {data}\n\n".encode())
+        reactor.callLater(
+            self.delay, self._write_event, request, request_id, event_id + 1, last_id
+        )
 
 
 if __name__ == "__main__":
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,4 +1,9 @@
-"""Stand-in for the users' platform's store: leases, history, pages, faults."""
+"""
+Stand-in for the store of the users' platform.
+
+Simulates leases, a history of changes that can be compacted, paged reads, restores
+from a backup, and injected faults.
+"""
 
 from __future__ import annotations
 
@@ -24,17 +29,18 @@
 from standins.web import Routes, answer, argument, body_of, reactor, serve
 
 ITEMS_PER_PAGE = 50
+# Epoch that is reported before the first restore; the in-memory keyspace starts at 0.
 FIRST_EPOCH = 3
-OPERATORS_PREFIXES = ("op/", "servers/")
+OPERATOR_KEY_PREFIXES = ("op/", "servers/")
 
 
 class PlatformStoreStandIn:
-    """The store's HTTP interface over keys in memory."""
+    """HTTP interface of the store over an in-memory keyspace."""
 
     def __init__(self) -> None:
-        """Start empty and without faults."""
+        """Create an empty store without faults."""
         self.keys = MemoryKeyspace(ReactorTimers(reactor))
-        self.kept: Copy = self.keys.copy()
+        self.backup: Copy = self.keys.copy()
         self.faults: dict[str, Any] = {"down": "", "lose_answers": 0, "status": 503}
         self.routes = Routes()
         for method, path, handler in (
@@ -46,15 +52,15 @@
             ("POST", "/kv-keep/", self.renew),
             ("DELETE", "/kv-lease-end/", self.end),
         ):
-            self.routes.add(method, path, self._unless_down(handler))
+            self.routes.add(method, path, self._with_faults(handler))
         self.routes.add("PUT", "/faults", self.set_faults)
         self.routes.add("PUT", "/compact", self.compact)
-        self.routes.add("PUT", "/operator", self.operate)
+        self.routes.add("PUT", "/operator", self.write_as_operator)
         self.routes.add("PUT", "/copy", self.copy)
         self.routes.add("PUT", "/restore", self.restore)
 
     def set_faults(self, request: Request) -> None:
-        """Switch faults on or off: ``down`` is ``busy``, ``reset`` or ``silent``."""
+        """Enable or disable faults; ``down`` is ``busy``, ``reset`` or ``silent``."""
         self.faults.update(body_of(request))
         self.keys.answers_to_lose = self.faults["lose_answers"]
         if self.faults["down"]:
@@ -63,26 +69,26 @@
         answer(request, self.faults)
 
     def compact(self, request: Request) -> None:
-        """Forget the history."""
+        """Discard the history of changes."""
         self.keys.compact()
         answer(request, {})
 
     def copy(self, request: Request) -> None:
-        """Make a copy to be restored from."""
-        self.kept = self.keys.copy()
+        """Make a backup for ``restore``."""
+        self.backup = self.keys.copy()
         answer(request, {})
 
     def restore(self, request: Request) -> None:
-        """Come back from the last copy."""
-        self.keys.restore(self.kept)
+        """Restore the keys from the last backup."""
+        self.keys.restore(self.backup)
         answer(request, {"epoch": self.keys.epoch})
 
-    def _revision(self, revision: int) -> int:
-        """Read a revision of a caller, which counts without epochs."""
+    def _revision_with_epoch(self, revision: int) -> int:
+        """Convert a client's revision, which has no epoch, to one of the keyspace."""
         return with_epoch(self.keys.epoch, revision) if revision else 0
 
-    def operate(self, request: Request) -> None:
-        """Write or remove a key as the operator or a target does."""
+    def write_as_operator(self, request: Request) -> None:
+        """Write or remove a key on behalf of the operator or a target."""
         key = argument(request, "key")
         value = body_of(request)
         if value is None:
@@ -94,38 +100,38 @@
     def read(self, request: Request) -> None:
         """Read a key."""
 
-        def found(item: Item | None) -> None:
+        def respond(item: Item | None) -> None:
             if item is None:
                 current = without_epoch(self.keys.revision)
                 answer(request, {"currentRev": current}, 404)
             else:
                 current = without_epoch(self.keys.revision)
-                answer(request, _item(item) | {"currentRev": current})
+                answer(request, _encode_item(item) | {"currentRev": current})
 
-        self.keys.read(argument(request, "key")).addCallback(found)
+        self.keys.read(argument(request, "key")).addCallback(respond)
 
     def range(self, request: Request) -> None:
-        """Read a page of the keys under a prefix."""
+        """Read one page of the keys with a prefix."""
         prefix, after = argument(request, "prefix"), argument(request, "after")
 
-        def found(snapshot: Any) -> None:
+        def respond(snapshot: Any) -> None:
             items = sorted(item for item in snapshot.items if item.key > after)
-            page = [_item(item) for item in items[:ITEMS_PER_PAGE]]
-            more = len(items) > ITEMS_PER_PAGE
+            page = [_encode_item(item) for item in items[:ITEMS_PER_PAGE]]
+            has_more = len(items) > ITEMS_PER_PAGE
             current = without_epoch(snapshot.revision)
-            told = {"items": page, "morePages": more, "currentRev": current}
-            answer(request, told)
+            reply = {"items": page, "morePages": has_more, "currentRev": current}
+            answer(request, reply)
 
-        self.keys.read_all(prefix).addCallback(found)
+        self.keys.read_all(prefix).addCallback(respond)
 
     def watch(self, request: Request) -> None:
-        """Wait for changes."""
+        """Wait for changes under a prefix (long poll)."""
         wait = int(argument(request, "waitMs", "0")) / 1000
         after = with_epoch(self.keys.epoch, int(argument(request, "after", "0")))
         pending = self.keys.changes(argument(request, "prefix"), after, wait)
 
-        def found(changes: Changes) -> None:
-            events = [_event(change) for change in changes.changes]
+        def respond(changes: Changes) -> None:
+            events = [_encode_event(change) for change in changes.changes]
             current = without_epoch(changes.revision)
             answer(request, {"events": events, "currentRev": current})
 
@@ -134,28 +140,31 @@
             answer(request, {"error": "history"}, 410 if is_lost else 503)
 
         request.notifyFinish().addErrback(lambda _: pending.cancel())
-        pending.addCallbacks(found, failed).addErrback(lambda _: None)
+        pending.addCallbacks(respond, failed).addErrback(lambda _: None)
 
     def write(self, request: Request) -> None:
-        """Make a transaction of one write."""
+        """Apply a transaction that writes one key."""
         body = body_of(request)
         put, expected = body["puts"][0], body["expected"]
-        if put["key"].startswith(OPERATORS_PREFIXES):
+        if put["key"].startswith(OPERATOR_KEY_PREFIXES):
             answer(request, {"error": "not yours"}, 403)
             return
         value = base64.b64decode(put["value"])
         lease = put.get("lease", 0)
-        rows = [(row["key"], self._revision(row["revision"])) for row in expected]
+        conditions = [
+            (condition["key"], self._revision_with_epoch(condition["revision"]))
+            for condition in expected
+        ]
         write = Write(
             put["key"],
             value,
-            rows[0][1],
+            conditions[0][1],
             lease_with_epoch(self.keys.epoch, lease) if lease else 0,
-            rows[1] if len(rows) > 1 else None,
+            conditions[1] if len(conditions) > 1 else None,
         )
         pending: Deferred[int | None] = self.keys.write(write)
 
-        def written(revision: int | None) -> None:
+        def respond_to_write(revision: int | None) -> None:
             if revision is None:
                 answer(request, {"items": []}, 412)
             else:
@@ -167,7 +176,7 @@
             else:
                 request.transport.abortConnection()  # type: ignore[union-attr]
 
-        pending.addCallbacks(written, failed)
+        pending.addCallbacks(respond_to_write, failed)
 
     def grant(self, request: Request) -> None:
         """Grant a lease."""
@@ -195,8 +204,8 @@
         )
         self.keys.end(lease).addCallback(lambda _: answer(request, {}))
 
-    def _unless_down(self, handler: Any) -> Any:
-        def guarded(request: Request) -> None:
+    def _with_faults(self, handler: Any) -> Any:
+        def handle(request: Request) -> None:
             request.setHeader("Store-Era", str(self.keys.epoch + FIRST_EPOCH))
             down = self.faults["down"]
             if not down:
@@ -206,20 +215,20 @@
             elif down == "reset":
                 request.transport.abortConnection()  # type: ignore[union-attr]
 
-        return guarded
+        return handle
 
 
-def _item(item: Item) -> dict[str, Any]:
+def _encode_item(item: Item) -> dict[str, Any]:
     value = base64.b64encode(item.value).decode()
     revision = without_epoch(item.revision)
     return {"key": item.key, "value": value, "revision": revision}
 
 
-def _event(change: Change) -> dict[str, Any]:
+def _encode_event(change: Change) -> dict[str, Any]:
     if change.value is None:
         revision = without_epoch(change.revision)
         return {"key": change.key, "revision": revision, "deleted": True}
-    return _item(Item(change.key, change.value, change.revision))
+    return _encode_item(Item(change.key, change.value, change.revision))
 
 
 if __name__ == "__main__":
--- a/standins/web.py
+++ b/standins/web.py
@@ -1,4 +1,4 @@
-"""A small JSON web server that every stand-in is built on."""
+"""Minimal HTTP server with JSON bodies, shared by all stand-ins."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 
 class Routes(Resource):
-    """Sends each request to the handler of its method and first matching prefix."""
+    """Routes a request by its method and the first matching prefix of its path."""
 
     isLeaf = True  # noqa: N815
 
     def __init__(self) -> None:
-        """Start without routes."""
+        """Create an empty routing table."""
         super().__init__()
         self.routes: list[tuple[str, str, Handler]] = []
 
     def add(self, method: str, prefix: str, handler: Handler) -> None:
-        """Send requests whose path begins with ``prefix`` to ``handler``."""
+        """Route requests whose path starts with ``prefix`` to ``handler``."""
         self.routes.append((method, prefix, handler))
 
     def render(self, request: Request) -> int:
-        """Answer one request."""
+        """Dispatch a request, or respond with 404."""
         path = request.path.decode()
         for method, prefix, handler in self.routes:
             if request.method.decode() == method and path.startswith(prefix):
@@ -47,7 +47,7 @@
     status: int = 200,
     headers: dict[str, str] | None = None,
 ) -> None:
-    """Answer with JSON, unless the asker has gone."""
+    """Send a JSON response unless the client has disconnected."""
     if request._disconnected or request.finished:
         return
     request.setResponseCode(status)
@@ -59,29 +59,29 @@
 
 
 def body_of(request: Request) -> Any:
-    """Read a JSON body."""
+    """Read a request body and parse it as JSON."""
     return json.loads(content_of(request) or b"null")
 
 
 def content_of(request: Request) -> bytes:
-    """Read a body."""
+    """Read a request body as bytes."""
     content: Any = request.content
     return bytes(content.read())
 
 
 def argument(request: Request, name: str, default: str = "") -> str:
-    """Read an argument of the query."""
+    """Read a parameter of the query string."""
     arguments: Any = request.args
     return str(arguments.get(name.encode(), [default.encode()])[0].decode())
 
 
 def serve(routes: Routes, description: str, **defaults: Any) -> None:
-    """Serve until SIGTERM on the address given on the command line."""
+    """Serve on the address from the command line until SIGTERM."""
     listen(routes, parse(description, **defaults).listen)
 
 
 def parse(description: str, **defaults: Any) -> argparse.Namespace:
-    """Read the command line: ``--listen`` and an option for each default."""
+    """Parse the command line: ``--listen`` and an option for each default."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument("--listen", required=True)
     for name, default in defaults.items():
--- a/standins/weight_store.py
+++ b/standins/weight_store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the rate-limited weight store."""
+"""Stand-in for the store of model weights, which limits concurrent downloads."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 
 
 class WeightStoreStandIn:
-    """Hands out weights, a bounded number at a time."""
+    """Serves a bounded number of concurrent downloads."""
 
-    def __init__(self, seconds: float, most: int) -> None:
+    def __init__(self, seconds: float, max_downloads: int) -> None:
         """
-        Start idle.
+        Create a store without downloads.
 
-        :param seconds: that one download takes.
-        :param most: downloads at once; more are refused.
+        :param seconds: duration of one download.
+        :param max_downloads: concurrent downloads; others are rejected with 429.
         """
         self._seconds = seconds
-        self._most = most
-        self._running = 0
+        self._max_downloads = max_downloads
+        self._download_count = 0
         self.routes = Routes()
         self.routes.add("GET", "/weights/", self.download)
 
     def download(self, request: Request) -> None:
-        """Hand one model's weights out."""
-        if self._running >= self._most:
+        """Serve the weights of one model."""
+        if self._download_count >= self._max_downloads:
             answer(request, {"error": "rate limit"}, 429, {"retry-after": "1"})
             return
-        self._running += 1
-        reactor.callLater(self._seconds, self._finish, request)
+        self._download_count += 1
+        reactor.callLater(self._seconds, self._finish_download, request)
 
-    def _finish(self, request: Request) -> None:
-        self._running -= 1
+    def _finish_download(self, request: Request) -> None:
+        self._download_count -= 1
         answer(request, {"weights": request.path.decode()})
 
 
