--- a/specs/__init__.py
+++ b/specs/__init__.py
@@ -1,1 +1,1 @@
-"""Specifications of the core protocols, checked state by state."""
+"""Specifications of the core protocols, for an explicit-state model checker."""
--- a/specs/attempts.py
+++ b/specs/attempts.py
@@ -1,4 +1,4 @@
-"""One call that may not be repeated: what a gateway may send and say of it."""
+"""Attempts of a non-idempotent call: what a gateway may send and report."""
 
 from __future__ import annotations
 
@@ -10,15 +10,19 @@
 from specs.protocol import make_protocol
 
 TARGETS = 2
-MAX_SENDINGS = 3
+MAX_SENDS = 3
+# doubt: a call whose connection was lost may have run, so it is not sent again.
+# one: the gateway waits for the outcome of an attempt before it sends another.
+# typed: only a typed rejection, and no other failure, means that the call did not run.
+# bound: a call that is unanswered at its deadline is reported as unknown.
 GUARDS = frozenset({"doubt", "one", "typed", "bound"})
 
-# What the gateway knows of its last sending.
+# State of the last attempt, as the gateway knows it.
 READY = "ready"
 SENT = "sent"
 OVER = "over"
 
-# Final answers.
+# Final response to the caller.
 NONE = "none"
 SUCCESS = "success"
 NOT_RUN = "not run"
@@ -27,29 +31,29 @@
 
 class Copy(NamedTuple):
     """
-    A copy of the call on its way to a target, or its answer on the way back.
+    A copy of the call in transit to a target, or its response in transit back.
 
-    :ivar heard: whether the gateway still listens for the answer.
-    :ivar outcome: empty until the target has decided; then ``ran`` or ``rejected``.
+    :ivar is_awaited: whether the gateway still waits for the response.
+    :ivar outcome: empty until the target has responded; then ``ran`` or ``rejected``.
     """
 
     target: int
-    heard: bool
+    is_awaited: bool
     outcome: str
 
 
 class State(NamedTuple):
     """
-    All that the protocol depends on.
+    State of the whole system.
 
-    :ivar is_doubtful: whether a sending may have run, as the gateway believes.
-    :ivar copies: on the wire; one whose connection broke may still arrive.
-    :ivar runs: how often targets ran the call.
+    :ivar may_have_run: whether the gateway must assume that an attempt has run.
+    :ivar copies: copies in transit; one may still arrive after its connection broke.
+    :ivar runs: number of times that targets ran the call.
     """
 
     phase: str
-    is_doubtful: bool
-    sendings: int
+    may_have_run: bool
+    send_count: int
     copies: tuple[Copy, ...]
     runs: int
     answer: str
@@ -60,29 +64,29 @@
 
 def steps(state: State, guards: frozenset[str]) -> Iterator[tuple[str, State]]:
     """
-    Yield every step that may come next.
+    Yield the label and the resulting state of each possible next step.
 
-    :param state: where the system is.
-    :param guards: mechanisms that are in place.
+    :param state: current state of the system.
+    :param guards: mechanisms that are enabled.
     """
     for number, copy in enumerate(state.copies):
         yield from _target_steps(state, number, copy)
         yield from _answer_steps(state, number, copy, guards)
     if state.phase == OVER:
         return
-    yield from _sending_steps(state, guards)
+    yield from _send_steps(state, guards)
     if state.phase == SENT:
-        yield "the connection breaks", _broken(state, guards)
-    yield "the time is over", _expired(state, guards)
+        yield "the connection breaks", _lose_connection(state, guards)
+    yield "the time is over", _pass_deadline(state, guards)
 
 
 def _target_steps(state: State, number: int, copy: Copy) -> Iterator[tuple[str, State]]:
     if copy.outcome:
         return
-    ran = _put(state, number, copy._replace(outcome="ran"))
+    ran = _replace_copy(state, number, copy._replace(outcome="ran"))
     yield f"{copy.target} runs it", ran._replace(runs=state.runs + 1)
     rejected = copy._replace(outcome="rejected")
-    yield f"{copy.target} rejects it", _put(state, number, rejected)
+    yield f"{copy.target} rejects it", _replace_copy(state, number, rejected)
 
 
 def _answer_steps(
@@ -90,45 +94,50 @@
 ) -> Iterator[tuple[str, State]]:
     if not copy.outcome:
         return
-    gone = state._replace(copies=state.copies[:number] + state.copies[number + 1 :])
-    if not copy.heard or state.phase == OVER:
-        yield "an answer that nobody waits for is dropped", gone
+    received = state._replace(copies=state.copies[:number] + state.copies[number + 1 :])
+    if not copy.is_awaited or state.phase == OVER:
+        yield "an answer that nobody waits for is dropped", received
     elif copy.outcome == "ran":
-        yield "the answer comes", gone._replace(phase=OVER, answer=SUCCESS)
-        # A failure of the target's own says nothing of whether it ran.
-        is_doubtful = "typed" in guards
-        yield "a failure comes", gone._replace(phase=READY, is_doubtful=is_doubtful)
+        yield "the answer comes", received._replace(phase=OVER, answer=SUCCESS)
+        # A failure that the target reports does not tell whether the call ran.
+        may_have_run = "typed" in guards
+        yield (
+            "a failure comes",
+            received._replace(phase=READY, may_have_run=may_have_run),
+        )
     else:
-        yield "the rejection comes", gone._replace(phase=READY)
+        yield "the rejection comes", received._replace(phase=READY)
 
 
-def _sending_steps(state: State, guards: frozenset[str]) -> Iterator[tuple[str, State]]:
+def _send_steps(state: State, guards: frozenset[str]) -> Iterator[tuple[str, State]]:
     is_waiting = state.phase == SENT and "one" in guards
-    if state.is_doubtful or is_waiting or state.sendings == MAX_SENDINGS:
+    if state.may_have_run or is_waiting or state.send_count == MAX_SENDS:
         return
     for target in range(TARGETS):
         sent = state._replace(
             phase=SENT,
-            sendings=state.sendings + 1,
+            send_count=state.send_count + 1,
             copies=(*state.copies, Copy(target, True, "")),
         )
         yield f"it is sent to {target}", sent
-    yield "no connection is made", state._replace(sendings=state.sendings + 1)
+    yield "no connection is made", state._replace(send_count=state.send_count + 1)
 
 
-def _broken(state: State, guards: frozenset[str]) -> State:
-    unheard = tuple(copy._replace(heard=False) for copy in state.copies)
-    return state._replace(phase=READY, is_doubtful="doubt" in guards, copies=unheard)
+def _lose_connection(state: State, guards: frozenset[str]) -> State:
+    abandoned_copies = tuple(copy._replace(is_awaited=False) for copy in state.copies)
+    return state._replace(
+        phase=READY, may_have_run="doubt" in guards, copies=abandoned_copies
+    )
 
 
-def _expired(state: State, guards: frozenset[str]) -> State:
-    # What was sent and not answered may run, now or later.
-    may_run = state.is_doubtful or (state.phase == SENT and "bound" in guards)
+def _pass_deadline(state: State, guards: frozenset[str]) -> State:
+    # A call that was sent and not answered may have run or may still run.
+    may_run = state.may_have_run or (state.phase == SENT and "bound" in guards)
     answer = UNKNOWN if may_run else NOT_RUN
     return state._replace(phase=OVER, answer=answer)
 
 
-def _put(state: State, number: int, copy: Copy) -> State:
+def _replace_copy(state: State, number: int, copy: Copy) -> State:
     copies = (*state.copies[:number], copy, *state.copies[number + 1 :])
     return state._replace(copies=copies)
 
@@ -143,8 +152,8 @@
 
 def specification(guards: frozenset[str] = GUARDS) -> Protocol:
     """
-    Make the protocol for the model checker.
+    Create the protocol for the model checker.
 
-    :param guards: mechanisms that are in place.
+    :param guards: mechanisms that are enabled.
     """
     return make_protocol("attempts", INITIAL, steps, guards, INVARIANTS)
--- a/specs/authority.py
+++ b/specs/authority.py
@@ -1,4 +1,4 @@
-"""Who may order an engine that checks no fencing numbers: plan, planners, sidecars."""
+"""Authority to send orders to an engine that does not check fencing numbers."""
 
 from __future__ import annotations
 
@@ -10,15 +10,21 @@
 from specs.protocol import make_protocol
 
 LAST_PLAN = 3
-LAST_LIFE = 2
-MAX_FLIGHTS = 2
-# An order begins within this time of being sent, or never.
+MAX_STARTS = 2
+MAX_IN_FLIGHT = 2
+# The engine begins an order within this time after it was sent, or never.
 TRANSIT_TICKS = 1
-# So the quiet time must be longer, not as long: the first version of this
-# specification had them equal, and the checker found the order that begins last.
+# Must exceed the transit time. With equal times the checker finds an order that begins
+# at the end of its transit time, when the quiet time is already over.
 QUIET_TICKS = TRANSIT_TICKS + 1
+# cas: planners write the plan by compare-and-swap.
+# quiet: a sidecar waits for the quiet time before it serves.
+# ask: it then waits until the engine reports that it is idle.
+# source: it reads plans from the key-value service, never an outdated copy.
+# one: it sends no order while another is unanswered.
+# slot: at most one process of the sidecar runs at a time.
 GUARDS = frozenset({"cas", "quiet", "ask", "source", "one", "slot"})
-NOBODY = -1
+NO_PLAN = -1
 
 WAITING = "waiting"
 QUIET_OVER = "quiet over"
@@ -29,20 +35,20 @@
 
 class Sidecar(NamedTuple):
     """
-    One life of the sidecar's process.
+    A process of the sidecar, from its start to its end.
 
-    :ivar phase: what it does.
-    :ivar waited: ticks of its quiet time that have passed.
-    :ivar read: plan that it read last, to be ordered next.
+    :ivar phase: current activity.
+    :ivar ticks_waited: ticks of the quiet time that have passed.
+    :ivar plan_read: plan that it read last and will send next.
     """
 
     phase: str
-    waited: int
-    read: int
+    ticks_waited: int
+    plan_read: int
 
 
-class Flight(NamedTuple):
-    """An order on its way: not yet begun by the engine."""
+class InFlightOrder(NamedTuple):
+    """An order that was sent and that the engine has not begun."""
 
     plan: int
     age: int
@@ -50,26 +56,26 @@
 
 class State(NamedTuple):
     """
-    All that the protocol depends on.
+    State of the whole system.
 
     :ivar plan: number of the plan in the key-value service.
-    :ivar planners: plan that each of two planners has read, or ``NOBODY``.
-    :ivar sidecars: lives that have not been killed; at most one serves unless the
-        slot is not kept.
-    :ivar lives: lives begun so far.
-    :ivar flights: orders on their way.
-    :ivar doing: plan that the engine carries out, or ``NOBODY``.
+    :ivar planners: plan that each of two planners has read, or ``NO_PLAN``.
+    :ivar sidecars: running processes of the sidecar; at most one if the guard ``slot``
+        is enabled.
+    :ivar starts: number of processes started so far.
+    :ivar in_flight: orders that were sent and have not begun.
+    :ivar executing: plan that the engine carries out, or ``NO_PLAN``.
     :ivar newest: newest plan that the engine has begun.
-    :ivar went_back: whether it began an older one after it.
-    :ivar overlapped: whether it began one while doing another.
+    :ivar went_back: whether the engine began an older plan after a newer one.
+    :ivar overlapped: whether the engine began a plan while it carried out another.
     """
 
     plan: int
     planners: tuple[int, int]
     sidecars: tuple[Sidecar, ...]
-    lives: int
-    flights: tuple[Flight, ...]
-    doing: int
+    starts: int
+    in_flight: tuple[InFlightOrder, ...]
+    executing: int
     newest: int
     went_back: bool
     overlapped: bool
@@ -77,11 +83,11 @@
 
 INITIAL = State(
     plan=0,
-    planners=(NOBODY, NOBODY),
+    planners=(NO_PLAN, NO_PLAN),
     sidecars=(Sidecar(WAITING, 0, 0),),
-    lives=1,
-    flights=(),
-    doing=NOBODY,
+    starts=1,
+    in_flight=(),
+    executing=NO_PLAN,
     newest=0,
     went_back=False,
     overlapped=False,
@@ -90,10 +96,10 @@
 
 def steps(state: State, guards: frozenset[str]) -> Iterator[tuple[str, State]]:
     """
-    Yield every step that may come next.
+    Yield the label and the resulting state of each possible next step.
 
-    :param state: where the system is.
-    :param guards: mechanisms that are in place.
+    :param state: current state of the system.
+    :param guards: mechanisms that are enabled.
     """
     yield from _planner_steps(state, guards)
     yield from _sidecar_steps(state, guards)
@@ -102,120 +108,128 @@
 
 
 def _planner_steps(state: State, guards: frozenset[str]) -> Iterator[tuple[str, State]]:
-    for number, read in enumerate(state.planners):
-        if read == NOBODY:
-            planners = _put(state.planners, number, state.plan)
+    for number, plan_read in enumerate(state.planners):
+        if plan_read == NO_PLAN:
+            planners = _replace_at(state.planners, number, state.plan)
             yield f"planner {number} reads", state._replace(planners=planners)
             continue
-        planners = _put(state.planners, number, NOBODY)
-        if "cas" in guards and read != state.plan:
+        planners = _replace_at(state.planners, number, NO_PLAN)
+        if "cas" in guards and plan_read != state.plan:
             yield f"planner {number} loses", state._replace(planners=planners)
-        elif read < LAST_PLAN:
-            new = state._replace(planners=planners, plan=read + 1)
+        elif plan_read < LAST_PLAN:
+            new = state._replace(planners=planners, plan=plan_read + 1)
             yield f"planner {number} writes", new
 
 
 def _sidecar_steps(state: State, guards: frozenset[str]) -> Iterator[tuple[str, State]]:
     for number, sidecar in enumerate(state.sidecars):
         if sidecar.phase in (WAITING, QUIET_OVER):
-            yield from _beginning(state, number, guards)
+            yield from _startup_steps(state, number, guards)
         elif sidecar.phase == IDLE:
-            for plan in _readable(state, guards):
+            for plan in _readable_plans(state, guards):
                 if plan != state.newest:
-                    yield _moved(state, number, f"reads {plan}", phase=READ, read=plan)
-        elif sidecar.phase == READ and len(state.flights) < MAX_FLIGHTS:
-            yield _sending(state, number, guards)
+                    yield _update_sidecar(
+                        state, number, f"reads {plan}", phase=READ, plan_read=plan
+                    )
+        elif sidecar.phase == READ and len(state.in_flight) < MAX_IN_FLIGHT:
+            yield _send_order(state, number, guards)
         elif sidecar.phase == SENT:
-            yield _moved(state, number, "gives the answer up", phase=WAITING, waited=0)
+            yield _update_sidecar(
+                state, number, "gives the answer up", phase=WAITING, ticks_waited=0
+            )
             if _is_answered(state, sidecar):
-                yield _moved(state, number, "has its answer", phase=IDLE)
+                yield _update_sidecar(state, number, "has its answer", phase=IDLE)
 
 
-def _beginning(
+def _startup_steps(
     state: State, number: int, guards: frozenset[str]
 ) -> Iterator[tuple[str, State]]:
     sidecar = state.sidecars[number]
     if sidecar.phase == WAITING:
-        if "quiet" not in guards or sidecar.waited >= QUIET_TICKS:
-            yield _moved(state, number, "ends its quiet time", phase=QUIET_OVER)
-    elif "ask" not in guards or state.doing == NOBODY:
-        yield _moved(state, number, "finds the engine idle", phase=IDLE)
+        if "quiet" not in guards or sidecar.ticks_waited >= QUIET_TICKS:
+            yield _update_sidecar(
+                state, number, "ends its quiet time", phase=QUIET_OVER
+            )
+    elif "ask" not in guards or state.executing == NO_PLAN:
+        yield _update_sidecar(state, number, "finds the engine idle", phase=IDLE)
 
 
-def _sending(state: State, number: int, guards: frozenset[str]) -> tuple[str, State]:
+def _send_order(state: State, number: int, guards: frozenset[str]) -> tuple[str, State]:
     phase = SENT if "one" in guards else IDLE
-    label, new = _moved(state, number, "sends", phase=phase)
-    flight = Flight(state.sidecars[number].read, 0)
-    return label, new._replace(flights=(*state.flights, flight))
+    label, new = _update_sidecar(state, number, "sends", phase=phase)
+    order = InFlightOrder(state.sidecars[number].plan_read, 0)
+    return label, new._replace(in_flight=(*state.in_flight, order))
 
 
-def _readable(state: State, guards: frozenset[str]) -> list[int]:
-    """Tell which plans a sidecar may take for the newest."""
+def _readable_plans(state: State, guards: frozenset[str]) -> list[int]:
+    """List the plans that a sidecar may take for the newest."""
     if "source" in guards:
         return [state.plan]
     return list(range(state.plan + 1))
 
 
 def _is_answered(state: State, sidecar: Sidecar) -> bool:
-    is_on_its_way = any(flight.plan == sidecar.read for flight in state.flights)
-    return not is_on_its_way and state.doing != sidecar.read
+    is_in_flight = any(order.plan == sidecar.plan_read for order in state.in_flight)
+    return not is_in_flight and state.executing != sidecar.plan_read
 
 
 def _engine_steps(state: State) -> Iterator[tuple[str, State]]:
-    for number, flight in enumerate(state.flights):
-        flights = state.flights[:number] + state.flights[number + 1 :]
+    for number, order in enumerate(state.in_flight):
+        in_flight = state.in_flight[:number] + state.in_flight[number + 1 :]
         new = state._replace(
-            flights=flights,
-            doing=flight.plan,
-            newest=max(state.newest, flight.plan),
-            went_back=state.went_back or flight.plan < state.newest,
-            overlapped=state.overlapped or state.doing != NOBODY,
+            in_flight=in_flight,
+            executing=order.plan,
+            newest=max(state.newest, order.plan),
+            went_back=state.went_back or order.plan < state.newest,
+            overlapped=state.overlapped or state.executing != NO_PLAN,
         )
-        yield f"engine begins {flight.plan}", new
-    if state.doing != NOBODY:
-        yield "engine is done", state._replace(doing=NOBODY)
+        yield f"engine begins {order.plan}", new
+    if state.executing != NO_PLAN:
+        yield "engine is done", state._replace(executing=NO_PLAN)
 
 
 def _failures(state: State, guards: frozenset[str]) -> Iterator[tuple[str, State]]:
     for number in range(len(state.sidecars)):
-        alive = state.sidecars[:number] + state.sidecars[number + 1 :]
-        yield "sidecar dies", state._replace(sidecars=alive)
+        remaining = state.sidecars[:number] + state.sidecars[number + 1 :]
+        yield "sidecar dies", state._replace(sidecars=remaining)
     is_free = not state.sidecars or ("slot" not in guards and len(state.sidecars) < 2)
-    if is_free and state.lives < LAST_LIFE:
+    if is_free and state.starts < MAX_STARTS:
         sidecars = (*state.sidecars, Sidecar(WAITING, 0, 0))
         yield (
             "sidecar starts",
-            state._replace(sidecars=sidecars, lives=state.lives + 1),
+            state._replace(sidecars=sidecars, starts=state.starts + 1),
         )
-    # The assumption that quiet time rests on: time does not pass while an order is
-    # overdue; it begins or is lost first.
-    if all(flight.age < TRANSIT_TICKS for flight in state.flights):
-        yield "time passes", _older(state)
-    for number in range(len(state.flights)):
-        flights = state.flights[:number] + state.flights[number + 1 :]
-        yield "order is lost", state._replace(flights=flights)
-
-
-def _older(state: State) -> State:
-    flights = tuple(Flight(flight.plan, flight.age + 1) for flight in state.flights)
+    # The quiet time rests on this assumption: an order begins or is lost within its
+    # transit time, so time does not pass while one is overdue.
+    if all(order.age < TRANSIT_TICKS for order in state.in_flight):
+        yield "time passes", _advance_time(state)
+    for number in range(len(state.in_flight)):
+        in_flight = state.in_flight[:number] + state.in_flight[number + 1 :]
+        yield "order is lost", state._replace(in_flight=in_flight)
+
+
+def _advance_time(state: State) -> State:
+    in_flight = tuple(
+        InFlightOrder(order.plan, order.age + 1) for order in state.in_flight
+    )
     sidecars = tuple(
-        sidecar._replace(waited=min(QUIET_TICKS, sidecar.waited + 1))
+        sidecar._replace(ticks_waited=min(QUIET_TICKS, sidecar.ticks_waited + 1))
         if sidecar.phase == WAITING
         else sidecar
         for sidecar in state.sidecars
     )
-    return state._replace(flights=flights, sidecars=sidecars)
+    return state._replace(in_flight=in_flight, sidecars=sidecars)
 
 
-def _moved(
-    state: State, number: int, what: str, **changes: object
+def _update_sidecar(
+    state: State, number: int, action: str, **changes: object
 ) -> tuple[str, State]:
     sidecar = state.sidecars[number]._replace(**changes)  # type: ignore[arg-type]
     sidecars = (*state.sidecars[:number], sidecar, *state.sidecars[number + 1 :])
-    return f"sidecar {what}", state._replace(sidecars=sidecars)
+    return f"sidecar {action}", state._replace(sidecars=sidecars)
 
 
-def _put(pair: tuple[int, int], number: int, value: int) -> tuple[int, int]:
+def _replace_at(pair: tuple[int, int], number: int, value: int) -> tuple[int, int]:
     return (value, pair[1]) if number == 0 else (pair[0], value)
 
 
@@ -227,8 +241,8 @@
 
 def specification(guards: frozenset[str] = GUARDS) -> Protocol:
     """
-    Make the protocol for the model checker.
+    Create the protocol for the model checker.
 
-    :param guards: mechanisms that are in place.
+    :param guards: mechanisms that are enabled.
     """
     return make_protocol("authority", INITIAL, steps, guards, INVARIANTS)
--- a/specs/holder.py
+++ b/specs/holder.py
@@ -1,4 +1,4 @@
-"""Who may order an engine under a lease that the store may take away unseen."""
+"""Exclusive right to send orders, under a lease that may be lost unnoticed."""
 
 from __future__ import annotations
 
@@ -11,13 +11,17 @@
 
 NOBODY = -1
 LAST_FENCE = 2
-# Ticks for which orders of two holders must stay apart.
+# Minimum ticks between orders of two holders.
 LEASE_TICKS = 2
-# Ticks for which a reading of the key may be acted on.
+# Ticks for which a read of the key remains valid.
 READ_TICKS = 1
-# A new holder waits for both: the last one may have read the key just before.
+# A new holder waits for both, since the last one may have read the key just before.
 WAIT_TICKS = LEASE_TICKS + READ_TICKS
-MAX_LATE = 2
+MAX_PENDING = 2
+# read: a holder reads the key before each order.
+# fresh: it sends no order on a read that is older than ``READ_TICKS``.
+# wait: a new holder waits for ``WAIT_TICKS`` before its first order.
+# expected: the engine refuses an order that was prepared before it accepted another.
 GUARDS = frozenset({"read", "fresh", "wait", "expected"})
 
 IDLE = "idle"
@@ -27,26 +31,26 @@
 
 class Gateway(NamedTuple):
     """
-    What one gateway believes.
+    Knowledge of one gateway.
 
-    :ivar fence: of the right that it took; 0 for none.
-    :ivar held: ticks since it took it.
-    :ivar read_age: ticks since it read that the key is its own.
+    :ivar fence: fencing number of the lease that it took; 0 for none.
+    :ivar ticks_held: ticks since it took the lease.
+    :ivar read_age: ticks since it read that it still holds the key.
     :ivar is_current: whether the engine has accepted no order since it was asked.
     """
 
     phase: str
     fence: int
-    held: int
+    ticks_held: int
     read_age: int
     is_current: bool
 
 
-class Late(NamedTuple):
+class PendingOrder(NamedTuple):
     """
-    An order that arrived and is carried out later.
+    An order that has arrived and is carried out later.
 
-    :ivar is_current: whether it still expects what the engine has accepted.
+    :ivar is_current: whether the engine has accepted no order since this was prepared.
     """
 
     fence: int
@@ -55,47 +59,49 @@
 
 class State(NamedTuple):
     """
-    All that the protocol depends on.
-
-    :ivar holder: whose the key is, or ``NOBODY``.
-    :ivar fence: revision of the key's last writing.
-    :ivar late: orders that are yet to be carried out.
-    :ivar newest: highest fencing number that it has carried out.
-    :ivar last_fence: of the order that arrived last; 0 before the first.
-    :ivar last_age: ticks since.
+    State of the whole system.
+
+    :ivar holder: gateway that holds the key, or ``NOBODY``.
+    :ivar fence: revision of the last write of the key.
+    :ivar pending: orders that have arrived and were not carried out.
+    :ivar highest_fence: highest fencing number that the engine has carried out.
+    :ivar last_fence: fencing number of the last order; 0 before the first.
+    :ivar ticks_since_order: ticks since the last order arrived.
     :ivar went_back: whether an older order was carried out after a newer one.
-    :ivar took_turns: whether orders of two holders arrived within a lease.
+    :ivar took_turns: whether orders of two holders arrived within ``LEASE_TICKS``.
     """
 
     holder: int
     fence: int
     gateways: tuple[Gateway, Gateway]
-    late: tuple[Late, ...]
-    newest: int
+    pending: tuple[PendingOrder, ...]
+    highest_fence: int
     last_fence: int
-    last_age: int
+    ticks_since_order: int
     went_back: bool
     took_turns: bool
 
 
-NOTHING = Gateway(IDLE, 0, 0, 0, False)
-INITIAL = State(NOBODY, 0, (NOTHING, NOTHING), (), 0, 0, LEASE_TICKS, False, False)
+IDLE_GATEWAY = Gateway(IDLE, 0, 0, 0, False)
+INITIAL = State(
+    NOBODY, 0, (IDLE_GATEWAY, IDLE_GATEWAY), (), 0, 0, LEASE_TICKS, False, False
+)
 
 
 def steps(state: State, guards: frozenset[str]) -> Iterator[tuple[str, State]]:
     """
-    Yield every step that may come next.
+    Yield the label and the resulting state of each possible next step.
 
-    :param state: where the system is.
-    :param guards: mechanisms that are in place.
+    :param state: current state of the system.
+    :param guards: mechanisms that are enabled.
     """
     for number in range(2):
         yield from _gateway_steps(state, number, guards)
     yield from _engine_steps(state, guards)
     if state.holder != NOBODY:
-        # A lease that lapsed, or keys that the store took away: no call tells.
+        # The lease expired or the store lost its keys; the holder is not notified.
         yield "the key is taken away", state._replace(holder=NOBODY)
-    yield "time passes", _older(state)
+    yield "time passes", _advance_time(state)
 
 
 def _gateway_steps(
@@ -108,73 +114,79 @@
             taken = state._replace(holder=number, fence=fence)
             yield (
                 f"{number} takes the key",
-                _put(taken, number, phase=HOLDS, fence=fence),
+                _update_gateway(taken, number, phase=HOLDS, fence=fence),
             )
         return
-    is_own = state.holder == number and state.fence == gateway.fence
+    is_holder = state.holder == number and state.fence == gateway.fence
     if gateway.phase == HOLDS:
-        if "wait" in guards and gateway.held < WAIT_TICKS:
+        if "wait" in guards and gateway.ticks_held < WAIT_TICKS:
             return
-        if is_own or "read" not in guards:
-            read = _put(state, number, phase=READ, read_age=0, is_current=True)
+        if is_holder or "read" not in guards:
+            read = _update_gateway(
+                state, number, phase=READ, read_age=0, is_current=True
+            )
             yield f"{number} asks the engine and reads the key", read
         else:
-            yield f"{number} finds the key gone", _put(state, number, **_fresh())
+            yield (
+                f"{number} finds the key gone",
+                _update_gateway(state, number, **_idle_fields()),
+            )
         return
-    back = _put(state, number, phase=HOLDS, read_age=0, is_current=False)
+    holding = _update_gateway(state, number, phase=HOLDS, read_age=0, is_current=False)
     if "fresh" in guards and gateway.read_age > READ_TICKS:
-        yield f"{number} read too long ago", back
-    elif len(state.late) < MAX_LATE:
-        yield f"{number} orders", _arrived(back, gateway)
+        yield f"{number} read too long ago", holding
+    elif len(state.pending) < MAX_PENDING:
+        yield f"{number} orders", _receive_order(holding, gateway)
 
 
-def _fresh() -> dict[str, Any]:
-    return NOTHING._asdict()
+def _idle_fields() -> dict[str, Any]:
+    return IDLE_GATEWAY._asdict()
 
 
-def _arrived(state: State, gateway: Gateway) -> State:
-    is_turn = state.last_fence not in (0, gateway.fence)
+def _receive_order(state: State, gateway: Gateway) -> State:
+    is_other_holder = state.last_fence not in (0, gateway.fence)
     return state._replace(
-        late=(*state.late, Late(gateway.fence, gateway.is_current)),
+        pending=(*state.pending, PendingOrder(gateway.fence, gateway.is_current)),
         last_fence=gateway.fence,
-        last_age=0,
-        took_turns=state.took_turns or (is_turn and state.last_age < LEASE_TICKS),
+        ticks_since_order=0,
+        took_turns=state.took_turns
+        or (is_other_holder and state.ticks_since_order < LEASE_TICKS),
     )
 
 
 def _engine_steps(state: State, guards: frozenset[str]) -> Iterator[tuple[str, State]]:
-    for number, order in enumerate(state.late):
-        rest = state.late[:number] + state.late[number + 1 :]
+    for number, order in enumerate(state.pending):
+        remaining = state.pending[:number] + state.pending[number + 1 :]
         if "expected" in guards and not order.is_current:
-            yield "the engine refuses an order", state._replace(late=rest)
+            yield "the engine refuses an order", state._replace(pending=remaining)
             continue
         first, second = (item._replace(is_current=False) for item in state.gateways)
         new = state._replace(
-            late=tuple(item._replace(is_current=False) for item in rest),
+            pending=tuple(item._replace(is_current=False) for item in remaining),
             gateways=(first, second),
-            newest=max(state.newest, order.fence),
-            went_back=state.went_back or order.fence < state.newest,
+            highest_fence=max(state.highest_fence, order.fence),
+            went_back=state.went_back or order.fence < state.highest_fence,
         )
         yield f"the engine carries out {order.fence}", new
 
 
-def _older(state: State) -> State:
-    first, second = (_older_gateway(gateway) for gateway in state.gateways)
-    last_age = min(LEASE_TICKS, state.last_age + 1)
-    return state._replace(gateways=(first, second), last_age=last_age)
+def _advance_time(state: State) -> State:
+    first, second = (_advance_gateway(gateway) for gateway in state.gateways)
+    ticks_since_order = min(LEASE_TICKS, state.ticks_since_order + 1)
+    return state._replace(gateways=(first, second), ticks_since_order=ticks_since_order)
 
 
-def _older_gateway(gateway: Gateway) -> Gateway:
+def _advance_gateway(gateway: Gateway) -> Gateway:
     if gateway.phase == IDLE:
         return gateway
-    held = min(WAIT_TICKS, gateway.held + 1)
+    ticks_held = min(WAIT_TICKS, gateway.ticks_held + 1)
     if gateway.phase != READ:
-        return gateway._replace(held=held)
+        return gateway._replace(ticks_held=ticks_held)
     read_age = min(READ_TICKS + 1, gateway.read_age + 1)
-    return gateway._replace(held=held, read_age=read_age)
+    return gateway._replace(ticks_held=ticks_held, read_age=read_age)
 
 
-def _put(state: State, number: int, **changes: Any) -> State:
+def _update_gateway(state: State, number: int, **changes: Any) -> State:
     gateways = list(state.gateways)
     gateways[number] = gateways[number]._replace(**changes)
     return state._replace(gateways=(gateways[0], gateways[1]))
@@ -188,8 +200,8 @@
 
 def specification(guards: frozenset[str] = GUARDS) -> Protocol:
     """
-    Make the protocol for the model checker.
+    Create the protocol for the model checker.
 
-    :param guards: mechanisms that are in place.
+    :param guards: mechanisms that are enabled.
     """
     return make_protocol("holder", INITIAL, steps, guards, INVARIANTS)
--- a/specs/protocol.py
+++ b/specs/protocol.py
@@ -1,4 +1,4 @@
-"""Makes what the model checker takes out of states that are named tuples."""
+"""Adapts specifications whose states are named tuples to the model checker."""
 
 from __future__ import annotations
 
@@ -19,18 +19,20 @@
     invariants: dict[str, Callable[[dict[str, Any]], bool]],
 ) -> Protocol:
     """
-    Make a protocol.
+    Create a protocol for the model checker.
 
-    :param name: of the specification.
-    :param initial: first state.
-    :param steps: yields every step that may come next.
-    :param guards: mechanisms that are in place.
-    :param invariants: what must hold in each state, given its fields by name.
+    :param name: name of the specification.
+    :param initial: initial state.
+    :param steps: yields the label and the resulting state of each possible next step.
+    :param guards: mechanisms that are enabled.
+    :param invariants: conditions on every state, given its fields by name.
     """
-    kind: Any = type(initial)
+    state_type: Any = type(initial)
 
     def transitions(values: tuple[Any, ...]) -> list[tuple[str, tuple[Any, ...]]]:
-        return [(label, tuple(new)) for label, new in steps(kind(*values), guards)]
+        return [
+            (label, tuple(new)) for label, new in steps(state_type(*values), guards)
+        ]
 
     return Protocol(
         name=name,
--- a/specs/revocation.py
+++ b/specs/revocation.py
@@ -1,4 +1,4 @@
-"""How long a revoked key is served by gateways that prove their configuration."""
+"""Time for which gateways that verify their configuration serve a revoked key."""
 
 from __future__ import annotations
 
@@ -9,22 +9,27 @@
 
 from specs.protocol import make_protocol
 
-# Ticks after a revocation from which on no gateway may serve the key.
-BOUND = 3
-# Oldest age that is told apart; all beyond are past the bound.
-OLDEST = BOUND + 1
+# Ticks after a revocation within which all gateways must stop serving the key.
+REVOCATION_BOUND = 3
+# Ages are capped here, since all ages past the bound are equivalent.
+MAX_AGE = REVOCATION_BOUND + 1
+# sent: the age of a response counts from when the query was sent.
+# added: a response includes the age of the responder's own configuration.
+# suspended: the clock counts the time for which the process was suspended.
+# asked: only a response verifies the configuration, not a watch without changes.
+# version: a response verifies only the configuration that it carries.
 GUARDS = frozenset({"sent", "added", "suspended", "asked", "version"})
 
 NOT_REVOKED = -1
 
 
-class Question(NamedTuple):
+class Query(NamedTuple):
     """
-    A question on its way, or the answer to it.
+    A query in transit, or its response.
 
-    :ivar age: ticks since it was sent.
-    :ivar answer_age: ticks by which its answer was old when it was given; -1 before.
-    :ivar is_revoked: whether the answer's configuration lacks the key.
+    :ivar age: ticks since the query was sent.
+    :ivar answer_age: age of the response in ticks when it was sent; -1 before.
+    :ivar is_revoked: whether the key is absent from the configuration in the response.
     """
 
     age: int
@@ -34,25 +39,25 @@
 
 class Gateway(NamedTuple):
     """
-    What one gateway believes.
+    Knowledge of one gateway.
 
     :ivar age: ticks since its configuration was known to be the newest.
-    :ivar is_revoked: whether its configuration lacks the key.
-    :ivar question: that it waits for; ``None`` if it asks nothing.
+    :ivar is_revoked: whether the key is absent from its configuration.
+    :ivar query: pending query, or ``None``.
     """
 
     age: int
     is_revoked: bool
-    question: Question | None
+    query: Query | None
 
 
 class State(NamedTuple):
     """
-    All that the protocol depends on.
+    State of the whole system.
 
-    :ivar revoked_for: ticks since the key was taken away; ``NOT_REVOKED`` before.
-    :ivar reader: asks the store.
-    :ivar other: asks the reader.
+    :ivar revoked_for: ticks since the key was revoked; ``NOT_REVOKED`` before.
+    :ivar reader: gateway that queries the store.
+    :ivar other: gateway that queries the reader.
     """
 
     revoked_for: int
@@ -60,108 +65,108 @@
     other: Gateway
 
 
-UNPROVEN = Gateway(OLDEST, False, None)
+UNPROVEN = Gateway(MAX_AGE, False, None)
 INITIAL = State(NOT_REVOKED, UNPROVEN, UNPROVEN)
-ASKED = Question(0, -1, False)
+NEW_QUERY = Query(0, -1, False)
 
 
 def steps(state: State, guards: frozenset[str]) -> Iterator[tuple[str, State]]:
     """
-    Yield every step that may come next.
+    Yield the label and the resulting state of each possible next step.
 
-    :param state: where the system is.
-    :param guards: mechanisms that are in place.
+    :param state: current state of the system.
+    :param guards: mechanisms that are enabled.
     """
     if state.revoked_for == NOT_REVOKED:
         yield "the key is revoked", state._replace(revoked_for=0)
     for name in ("reader", "other"):
         gateway: Gateway = getattr(state, name)
-        for label, found in _gateway_steps(state, name, gateway, guards):
-            yield f"{name} {label}", _put(state, name, found)
-        yield f"time passes, {name} is suspended", _pass(state, name, guards)
-    yield "time passes", _pass(state, "", guards)
+        for label, updated in _gateway_steps(state, name, gateway, guards):
+            yield f"{name} {label}", _replace_gateway(state, name, updated)
+        yield f"time passes, {name} is suspended", _advance_time(state, name, guards)
+    yield "time passes", _advance_time(state, "", guards)
 
 
 def _gateway_steps(
     state: State, name: str, gateway: Gateway, guards: frozenset[str]
 ) -> Iterator[tuple[str, Gateway]]:
-    question = gateway.question
-    if question is None:
-        yield "asks", gateway._replace(question=ASKED)
+    query = gateway.query
+    if query is None:
+        yield "asks", gateway._replace(query=NEW_QUERY)
         if "asked" not in guards:
             yield "takes a silent watch for a proof", gateway._replace(age=0)
         return
-    yield "gets no answer", gateway._replace(question=None)
-    if question.answer_age < 0:
-        answer = _answer(state, name, question, guards)
-        yield "is answered", gateway._replace(question=answer)
+    yield "gets no answer", gateway._replace(query=None)
+    if query.answer_age < 0:
+        answer = _respond(state, name, query, guards)
+        yield "is answered", gateway._replace(query=answer)
         return
-    yield "hears the answer", _heard(gateway, question, guards)
+    yield "hears the answer", _apply_response(gateway, query, guards)
 
 
-def _answer(
-    state: State, name: str, question: Question, guards: frozenset[str]
-) -> Question:
+def _respond(state: State, name: str, query: Query, guards: frozenset[str]) -> Query:
     if name == "reader":
-        return question._replace(
-            answer_age=0, is_revoked=state.revoked_for != NOT_REVOKED
-        )
+        return query._replace(answer_age=0, is_revoked=state.revoked_for != NOT_REVOKED)
     age = state.reader.age if "added" in guards else 0
-    return question._replace(answer_age=age, is_revoked=state.reader.is_revoked)
+    return query._replace(answer_age=age, is_revoked=state.reader.is_revoked)
 
 
-def _heard(gateway: Gateway, question: Question, guards: frozenset[str]) -> Gateway:
-    since = question.age if "sent" in guards else 0
-    age = min(OLDEST, since + question.answer_age)
-    is_newer = question.is_revoked and not gateway.is_revoked
+def _apply_response(gateway: Gateway, query: Query, guards: frozenset[str]) -> Gateway:
+    query_age = query.age if "sent" in guards else 0
+    age = min(MAX_AGE, query_age + query.answer_age)
+    is_newer = query.is_revoked and not gateway.is_revoked
     if is_newer and "version" not in guards:
-        # The answer proves a configuration that this gateway does not have.
+        # The response verifies a configuration that this gateway does not have.
         return Gateway(min(age, gateway.age), False, None)
-    is_revoked = gateway.is_revoked or question.is_revoked
+    is_revoked = gateway.is_revoked or query.is_revoked
     return Gateway(min(age, gateway.age), is_revoked, None)
 
 
-def _pass(state: State, suspended: str, guards: frozenset[str]) -> State:
-    """Let a tick pass; a suspended gateway may not count it."""
+def _advance_time(state: State, suspended: str, guards: frozenset[str]) -> State:
+    """Advance time by one tick, which a suspended gateway may not count."""
     revoked_for = state.revoked_for
     if revoked_for != NOT_REVOKED:
-        revoked_for = min(OLDEST, revoked_for + 1)
+        revoked_for = min(MAX_AGE, revoked_for + 1)
     state = state._replace(revoked_for=revoked_for)
     for name in ("reader", "other"):
         if name != suspended or "suspended" in guards:
-            state = _put(state, name, _older(getattr(state, name)))
+            state = _replace_gateway(
+                state, name, _advance_gateway(getattr(state, name))
+            )
     return state
 
 
-def _put(state: State, name: str, gateway: Gateway) -> State:
+def _replace_gateway(state: State, name: str, gateway: Gateway) -> State:
     if name == "reader":
         return state._replace(reader=gateway)
     return state._replace(other=gateway)
 
 
-def _older(gateway: Gateway) -> Gateway:
-    question = gateway.question
-    if question is not None:
-        question = question._replace(age=min(OLDEST, question.age + 1))
-    return gateway._replace(age=min(OLDEST, gateway.age + 1), question=question)
+def _advance_gateway(gateway: Gateway) -> Gateway:
+    query = gateway.query
+    if query is not None:
+        query = query._replace(age=min(MAX_AGE, query.age + 1))
+    return gateway._replace(age=min(MAX_AGE, gateway.age + 1), query=query)
 
 
-def _holds(values: dict[str, Any]) -> bool:
-    if values["revoked_for"] < BOUND:
+def _no_revoked_key_served(values: dict[str, Any]) -> bool:
+    if values["revoked_for"] < REVOCATION_BOUND:
         return True
     gateways = (values["reader"], values["other"])
-    return not any(item.age < BOUND and not item.is_revoked for item in gateways)
+    return not any(
+        item.age < REVOCATION_BOUND and not item.is_revoked for item in gateways
+    )
 
 
 INVARIANTS: dict[str, Callable[[dict[str, Any]], bool]] = {
-    "no revoked key is served past the bound": _holds,
+    "no revoked key is served past the bound": _no_revoked_key_served,
 }
 
 
 def specification(guards: frozenset[str] = GUARDS) -> Protocol:
     """
-    Make the protocol for the model checker.
+    Create the protocol for the model checker.
 
-    :param guards: mechanisms that are in place.
+    :param guards: mechanisms that are enabled.
     """
     return make_protocol("revocation", INITIAL, steps, guards, INVARIANTS)
