--- a/standins/older_system.py
+++ b/standins/older_system.py
@@ -8,7 +8,7 @@
 from twisted.web.server import Request
 
 from standins.engine import prompt_of, token_at
-from standins.web import Routes, answer, body_of, content_of, listen, parse
+from standins.web import Routes, answer, body_of, listen, parse, raw_body
 
 
 class OlderSystemStandIn:
@@ -39,7 +39,7 @@
 
     def call(self, request: Request) -> None:
         """Respond to a call of a plain service."""
-        self._request_counts[content_of(request).decode()] += 1
+        self._request_counts[raw_body(request).decode()] += 1
         answer(request, {"older": True})
 
 
--- a/standins/plain_service.py
+++ b/standins/plain_service.py
@@ -6,7 +6,7 @@
 
 from twisted.web.server import Request
 
-from standins.web import Routes, answer, body_of, content_of, listen, parse, reactor
+from standins.web import Routes, answer, body_of, listen, parse, raw_body, reactor
 
 
 class PlainServiceStandIn:
@@ -36,7 +36,7 @@
 
     def call(self, request: Request) -> None:
         """Count a call and respond after its duration."""
-        content = content_of(request).decode()
+        content = raw_body(request).decode()
         self._run_counts[content or request.path.decode()] += 1
         echo = request.getHeader("x-request-id") or ""
         request.notifyFinish().addErrback(lambda _: None)
--- a/standins/platform_engine.py
+++ b/standins/platform_engine.py
@@ -12,7 +12,7 @@
 
 from twisted.web.server import Request
 
-from standins.web import Routes, answer, body_of, content_of, listen, parse, reactor
+from standins.web import Routes, answer, body_of, listen, parse, raw_body, reactor
 
 REQUEST_ID_HEADER = "Pimentolink-Request-Id"
 NOT_EXECUTED_HEADERS = {"Pimentolink-Not-Executed": "1"}
@@ -164,7 +164,7 @@
         )
 
     def _run_call(self, request: Request, request_id: str) -> None:
-        body = content_of(request).decode()
+        body = raw_body(request).decode()
         if self._record_run(request_id, body):
             return
         reported_id = uuid4().hex if self.faults["wrong_id"] else request_id
@@ -181,7 +181,7 @@
         if source is None and self.phase != "decode":
             answer(request, {}, 421, {"Pimentolink-Instance-Id": self.instance})
             return
-        is_crashing = self._record_run(request_id, content_of(request).decode())
+        is_crashing = self._record_run(request_id, raw_body(request).decode())
         request.setHeader(REQUEST_ID_HEADER, request_id)
         request.setHeader("Pimentolink-Response-Signature", f"signed-{request_id}")
         request.setHeader("Content-Type", "text/event-stream")
--- a/standins/web.py
+++ b/standins/web.py
@@ -60,10 +60,10 @@
 
 def body_of(request: Request) -> Any:
     """Read a request body and parse it as JSON."""
-    return json.loads(content_of(request) or b"null")
+    return json.loads(raw_body(request) or b"null")
 
 
-def content_of(request: Request) -> bytes:
+def raw_body(request: Request) -> bytes:
     """Read a request body as bytes."""
     content: Any = request.content
     return bytes(content.read())
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,4 +1,4 @@
-"""Runs both users' sites on loopback and shows what happens."""
+"""Demonstrates both users' sites on loopback."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def main() -> None:
-    """Run one site after the other."""
+    """Run the sites one after the other."""
     for site in SITES:
         with Fleet() as fleet:
             print(f"\n{site}")
@@ -21,7 +21,7 @@
 
 
 def run_site(fleet: Fleet, site: str) -> None:
-    """Start a site, ask it what its users ask, stop it."""
+    """Start a site, send typical requests, and stop it."""
     configuration = site_configuration(site)
     fleet.start_platform()
     targets = start_targets(fleet, configuration)
@@ -42,7 +42,7 @@
 
 
 def ask_model(fleet: Fleet, model: str) -> str:
-    """Ask for a completion; return the request's name."""
+    """Request a completion; return the request id."""
     prompt = POLICY * 30
     body = {"model": model, "prompt": prompt, "max_tokens": 20}
     reply = call(fleet.url("entry-1", "/v1/completions"), "POST", body)
@@ -53,7 +53,7 @@
 
 
 def ask_plain(fleet: Fleet, configuration: dict[str, Any]) -> None:
-    """Make a call that may not be repeated, twice, through both entries."""
+    """Send a non-idempotent call under the same idempotency key to both entries."""
     name = next(
         name
         for name, service in configuration["services"].items()
@@ -73,30 +73,34 @@
 
 
 def drain(fleet: Fleet, target: str) -> None:
-    """Drain a target and let it come back."""
+    """Drain a target and return it to service."""
     platform = str(fleet.folder / "platform.json")
     for action in ("drain", "return"):
-        done = fleet.command("target", action, target, "--platform", platform)
-        print(f"  {done.stdout.strip()}")
+        result = fleet.command("target", action, target, "--platform", platform)
+        print(f"  {result.stdout.strip()}")
 
 
 def trace(fleet: Fleet, request_id: str) -> str:
-    """Show the hops of a request, once they are all there."""
+    """Return the trace of a request, or nothing until it contains the sidecar."""
     key = fleet.folder / "key.txt"
     key.write_text("a shared key for loopback only")
     platform = str(fleet.folder / "platform.json")
-    done = fleet.command(
+    result = fleet.command(
         "request", "trace", request_id, "--platform", platform, "--key", str(key)
     )
-    return done.stdout if "sidecar" in done.stdout else ""
+    return result.stdout if "sidecar" in result.stdout else ""
 
 
 def stop(fleet: Fleet) -> None:
-    """Stop everything gracefully, entries first."""
+    """Stop all processes of the product gracefully, entries first."""
     names = sorted(fleet.processes_by_name, key=lambda name: "entry" not in name)
-    ours = [name for name in names if name.startswith(("entry", "sidecar"))]
-    codes = {fleet.processes_by_name[name].stop() for name in ours}
-    print(f"  {len(ours)} processes stopped, exit codes {sorted(codes)}")
+    product_processes = [
+        name for name in names if name.startswith(("entry", "sidecar"))
+    ]
+    exit_codes = {fleet.processes_by_name[name].stop() for name in product_processes}
+    print(
+        f"  {len(product_processes)} processes stopped, exit codes {sorted(exit_codes)}"
+    )
 
 
 if __name__ == "__main__":
--- a/tools/demo_platform.py
+++ b/tools/demo_platform.py
@@ -1,4 +1,4 @@
-"""Runs a gateway on stand-ins of the users' platform and shows what happens."""
+"""Demonstrates a gateway with stand-ins for the users' platform."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def main() -> None:
-    """Start everything, ask what callers ask, stop everything."""
+    """Start all processes, send typical requests, and stop all processes."""
     with Fleet() as fleet:
         world = PlatformWorld(fleet)
         world.start_usual()
@@ -19,14 +19,14 @@
         ask_plain(world)
         drain(world)
         change_configuration(world)
-        outlive_outage(world)
+        request_during_outage(world)
         show_status(fleet)
         print(f"gateway stopped, exit code {fleet.processes_by_name['gateway'].stop()}")
     print("all processes have ended")
 
 
 def ask_model(world: PlatformWorld) -> None:
-    """Have a prompt read by one engine and its answer written by another."""
+    """Request a completion that one engine prefills and another decodes."""
     reply, name = world.generate("/resume/story")
     print(f"model: status {reply.status}, {reply.body.count(b'id:')} events")
     for line in world.logged("gateway", name):
@@ -34,21 +34,23 @@
 
 
 def ask_plain(world: PlatformWorld) -> None:
-    """Make a call that may not be repeated."""
+    """Send a non-idempotent call."""
     reply, name = world.request("/once/send")
     runs = sum(world.runs(target)["runs"].get(name, 0) for target in PLAIN_TARGETS)
     print(f"call that runs once: status {reply.status}, ran {runs} time")
 
 
 def drain(world: PlatformWorld) -> None:
-    """Let a target leave, and see that it gets nothing more."""
+    """Drain a target and wait until it receives no more requests."""
     world.list_target("plain-1", "plain", state="draining")
-    wait_until(lambda: asked(world) == {"plain-2"}, what="the target to get nothing")
+    wait_until(
+        lambda: targets_called(world) == {"plain-2"}, what="the target to get nothing"
+    )
     print("plain-1 is leaving: ten calls went to plain-2")
 
 
-def asked(world: PlatformWorld) -> set[str]:
-    """Make ten calls and tell which targets ran them."""
+def targets_called(world: PlatformWorld) -> set[str]:
+    """Make ten calls and return the targets that ran them."""
     names = [world.request("/read/it", "GET", b"")[1] for _ in range(10)]
     return {
         target
@@ -58,19 +60,19 @@
 
 
 def change_configuration(world: PlatformWorld) -> None:
-    """Add a route and wait until it is served."""
-    before, _ = world.request("/new/it", "GET", b"")
+    """Add a route and wait until requests to it succeed."""
+    response_before, _ = world.request("/new/it", "GET", b"")
     world.configure(2, new="plain")
 
     def is_served() -> bool:
         return world.request("/new/it", "GET", b"")[0].status == 200
 
     wait_until(is_served, what="the new route")
-    print(f"a route was added: status {before.status} before, 200 after")
+    print(f"a route was added: status {response_before.status} before, 200 after")
 
 
-def outlive_outage(world: PlatformWorld) -> None:
-    """Serve on while the store does not answer."""
+def request_during_outage(world: PlatformWorld) -> None:
+    """Send a request while the store does not respond."""
     world.fault("store", down="silent")
     reply, _ = world.request("/read/it", "GET", b"")
     world.fault("store", down="")
@@ -78,7 +80,7 @@
 
 
 def show_status(fleet: Fleet) -> None:
-    """Show what operators see."""
+    """Print the status of the gateway as operators see it."""
     settings = str(fleet.folder / "gateway.json")
     print(fleet.command("gateway", "status", settings).stdout)
 
--- a/tools/docs.py
+++ b/tools/docs.py
@@ -1,4 +1,4 @@
-"""Makes the pages that are generated from code, or checks that they are up to date."""
+"""Generates documentation pages from code, or checks that they are up to date."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from pimentolink.logs import LogEvent
 
 DOCS = Path("docs")
-PAGES_NEEDED = ("index", "GLOSSARY", "OPERATIONS", "PROOFS", "CAPACITY", "HUNTS")
+REQUIRED_PAGES = ("index", "GLOSSARY", "OPERATIONS", "PROOFS", "CAPACITY", "HUNTS")
 CONFIGURATION_TYPES: tuple[type[msgspec.Struct], ...] = (
     configuration.Configuration,
     configuration.DataCentreConfiguration,
@@ -48,7 +48,7 @@
 
 
 def events_page() -> str:
-    """Write the catalogue of log events."""
+    """Render the catalogue of log events."""
     lines = [
         "# Log events",
         "",
@@ -66,7 +66,7 @@
 
 
 def configuration_page() -> str:
-    """Write the formats of configuration and settings."""
+    """Render the reference of configuration and settings."""
     lines = [
         "# Configuration and settings",
         "",
@@ -78,16 +78,16 @@
         "## Configuration",
         "",
     ]
-    for kind in CONFIGURATION_TYPES:
-        lines += _section(kind)
+    for struct_type in CONFIGURATION_TYPES:
+        lines += _section(struct_type)
     lines += ["## Settings of the processes", ""]
-    for kind in SETTINGS_TYPES:
-        lines += _section(kind)
+    for struct_type in SETTINGS_TYPES:
+        lines += _section(struct_type)
     return "\n".join(lines)
 
 
-def _section(kind: type[msgspec.Struct]) -> list[str]:
-    text = inspect.getdoc(kind) or ""
+def _section(struct_type: type[msgspec.Struct]) -> list[str]:
+    text = inspect.getdoc(struct_type) or ""
     meanings = {
         name: " ".join(meaning.split())
         for name, meaning in re.findall(
@@ -96,14 +96,14 @@
     }
     summary = text.split("\n\n")[0].split("\n:ivar")[0]
     lines = [
-        f"### {kind.__name__}",
+        f"### {struct_type.__name__}",
         "",
         summary,
         "",
         "| field | type | default | meaning |",
         "|---|---|---|---|",
     ]
-    for field in msgspec.structs.fields(kind):
+    for field in msgspec.structs.fields(struct_type):
         name = field.name
         meaning = meanings.get(name, "")
         lines.append(
@@ -112,8 +112,8 @@
     return [*lines, ""]
 
 
-def _type_name(kind: Any) -> str:
-    schema = msgspec.json.schema(kind)
+def _type_name(field_type: Any) -> str:
+    schema = msgspec.json.schema(field_type)
     if "$ref" in schema:
         return f"`{schema['$ref'].rpartition('/')[2]}`"
     schema.pop("$defs", None)
@@ -141,24 +141,26 @@
 
 
 def main() -> None:
-    """Write the pages, or with ``--check`` compare them."""
+    """Write the pages, or check them if ``--check`` is given."""
     pages = {"EVENTS": events_page(), "CONFIGURATION": configuration_page()}
     if "--check" not in sys.argv:
         for name, text in pages.items():
             (DOCS / f"{name}.md").write_text(text)
         return
-    stale = [
+    outdated_pages = [
         name
         for name, text in pages.items()
         if not (DOCS / f"{name}.md").exists()
         or (DOCS / f"{name}.md").read_text() != text
     ]
-    missing = [name for name in PAGES_NEEDED if not (DOCS / f"{name}.md").exists()]
-    for name in stale:
-        print(f"docs/{name}.md is not what the code says: run python -m tools.docs")
-    for name in missing:
+    missing_pages = [
+        name for name in REQUIRED_PAGES if not (DOCS / f"{name}.md").exists()
+    ]
+    for name in outdated_pages:
+        print(f"docs/{name}.md is outdated: run python -m tools.docs")
+    for name in missing_pages:
         print(f"docs/{name}.md is missing")
-    sys.exit(1 if stale or missing else 0)
+    sys.exit(1 if outdated_pages or missing_pages else 0)
 
 
 if __name__ == "__main__":
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -1,4 +1,4 @@
-"""Starts a small fleet of real processes on loopback and ends it again."""
+"""Runs real processes on loopback for tests, benchmarks and demonstrations."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from typing import Any, ClassVar, NamedTuple
 
 SHARED_KEY = "a shared key for loopback only"
-START_WITHIN = 20.0
-POLL = 0.02
-# Below the range that the system takes ports of outgoing connections from.
+START_TIMEOUT = 20.0
+POLL_INTERVAL = 0.02
+# Below the range of ephemeral ports, from which outgoing connections take theirs.
 FIRST_PORT, LAST_PORT = 10_000, 32_000
-CLAIM_ADDRESS = "127.0.0.2"
-# Kept for the life of the process, a few hundred in a run of all tests.
-_claims_by_port: dict[int, socket.socket] = {}
+RESERVATION_ADDRESS = "127.0.0.2"
+# Kept until this process exits; a run of all tests makes a few hundred.
+_reservations_by_port: dict[int, socket.socket] = {}
 
 
 class Reply(NamedTuple):
-    """An HTTP answer."""
+    """An HTTP response."""
 
     status: int
     headers: dict[str, str]
@@ -36,28 +36,28 @@
 
     @property
     def json(self) -> Any:
-        """Decode the body."""
+        """Parse the body as JSON."""
         return json.loads(self.body)
 
 
 def free_port() -> int:
     """
-    Pick a port that nothing uses and that no outgoing connection is given.
+    Choose an unused port outside the range of ephemeral ports.
 
-    Between the choice and the bind another test process could choose the same port;
-    so each holds what it chose on a loopback address that nothing else uses.
+    Another test process could choose the same port before it is bound. So each process
+    reserves its ports by binding them on a loopback address that nothing else uses.
     """
     while True:
         port = random.randint(FIRST_PORT, LAST_PORT)
-        claim = socket.socket()
+        reservation = socket.socket()
         try:
-            claim.bind((CLAIM_ADDRESS, port))
+            reservation.bind((RESERVATION_ADDRESS, port))
             with socket.socket() as probe:
                 probe.bind(("127.0.0.1", port))
         except OSError:
-            claim.close()
+            reservation.close()
             continue
-        _claims_by_port[port] = claim
+        _reservations_by_port[port] = reservation
         return port
 
 
@@ -68,26 +68,28 @@
     headers: dict[str, str] | None = None,
     timeout: float = 30.0,
 ) -> Reply:
-    """Make one HTTP request; statuses of 400 and over are answers too."""
+    """Make an HTTP request; a status of 400 or above raises no exception."""
     data = body if isinstance(body, bytes | None) else json.dumps(body).encode()
     request = urllib.request.Request(
         url, data=data, method=method, headers=headers or {}
     )
     try:
         with urllib.request.urlopen(request, timeout=timeout) as response:
-            return Reply(response.status, _lower(response.headers), response.read())
+            return Reply(
+                response.status, _lowercase_names(response.headers), response.read()
+            )
     except urllib.error.HTTPError as error:
         with error:
-            return Reply(error.code, _lower(error.headers), error.read())
+            return Reply(error.code, _lowercase_names(error.headers), error.read())
 
 
-def _lower(headers: Any) -> dict[str, str]:
+def _lowercase_names(headers: Any) -> dict[str, str]:
     return {name.lower(): value for name, value in headers.items()}
 
 
-def wait_until(condition: Any, within: float = START_WITHIN, what: str = "") -> Any:
-    """Poll a condition until it is true; exceptions of sockets count as false."""
-    end = time.monotonic() + within
+def wait_until(condition: Any, within: float = START_TIMEOUT, what: str = "") -> Any:
+    """Poll a condition until it is true; an ``OSError`` counts as false."""
+    deadline = time.monotonic() + within
     while True:
         try:
             value = condition()
@@ -95,13 +97,15 @@
                 return value
         except OSError:
             pass
-        if time.monotonic() > end:
-            raise TimeoutError(f"waited {within} s for {what or condition}")
-        time.sleep(POLL)
+        if time.monotonic() > deadline:
+            raise TimeoutError(
+                f"timed out after {within} s waiting for {what or condition}"
+            )
+        time.sleep(POLL_INTERVAL)
 
 
 class Process:
-    """One process of the fleet."""
+    """A process of the fleet."""
 
     def __init__(
         self,
@@ -109,112 +113,112 @@
         arguments: list[str],
         address: str,
         folder: Path,
-        further: tuple[str, ...] = (),
+        other_addresses: tuple[str, ...] = (),
     ) -> None:
         """
-        Start it; its output goes to a file.
+        Start the process and append its output to a log file.
 
-        :param further: addresses that it opens besides, one after the other.
+        :param other_addresses: further addresses on which the process listens.
         """
         self.name = name
         self.arguments = arguments
         self.address = address
-        self.further = further
+        self.other_addresses = other_addresses
         self.log_path = folder / f"{name}.log"
         with self.log_path.open("ab") as log:
             self.popen = subprocess.Popen(
                 [sys.executable, "-m", *arguments], stdout=log, stderr=log
             )
 
-    def send(self, number: int) -> None:
-        """Send a signal."""
-        os.kill(self.popen.pid, number)
+    def send(self, signal_number: int) -> None:
+        """Send a signal to the process."""
+        os.kill(self.popen.pid, signal_number)
 
     def kill(self) -> None:
-        """End it without warning."""
+        """Kill the process and wait for its end."""
         self.popen.kill()
         self.popen.wait()
 
     def pause(self) -> None:
-        """Freeze it."""
+        """Suspend the process."""
         self.send(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it go on."""
+        """Resume a suspended process."""
         self.send(signal.SIGCONT)
 
     def stop(self, within: float = 30.0) -> int:
-        """End it gracefully; return its exit code."""
+        """Stop the process gracefully and return its exit code."""
         self.send(signal.SIGCONT)
         self.send(signal.SIGTERM)
         return self.popen.wait(within)
 
     def listens(self) -> bool:
-        """Tell whether it takes connections at all of its addresses."""
+        """Check that the process accepts connections at all of its addresses."""
         if not self.is_running:
-            raise RuntimeError(f"{self.name} ended: {self.log_path.read_text()}")
-        for address in (self.address, *self.further):
+            raise RuntimeError(f"{self.name} exited: {self.log_path.read_text()}")
+        for address in (self.address, *self.other_addresses):
             host, _, port = address.rpartition(":")
             socket.create_connection((host, int(port)), timeout=1.0).close()
         return True
 
     @property
     def is_running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the process has not exited."""
         return self.popen.poll() is None
 
 
 class LogRetention:
-    """Keeps the folders of fleets that ran during a failed test, removes all others."""
+    """Keeps the folders of fleets that ran during a failed test and removes others."""
 
     def __init__(self, parent: Path) -> None:
         """
-        Start without fleets.
+        Create a retention without fleets.
 
-        :param parent: folder in which the folders of fleets are made.
+        :param parent: folder in which the folders of fleets are created.
         """
         self.parent = parent
         self._running: set[Path] = set()
         self._closed: set[Path] = set()
-        self._kept: set[Path] = set()
+        self._retained: set[Path] = set()
 
     def started(self, folder: Path) -> None:
-        """Take note of a fleet that starts."""
+        """Register a fleet that starts."""
         self._running.add(folder)
 
     def closed(self, folder: Path) -> None:
-        """Take note of a fleet whose processes have ended."""
+        """Register that all processes of a fleet have ended."""
         self._running.discard(folder)
         self._closed.add(folder)
 
     def test_failed(self) -> list[Path]:
         """
-        Keep what has run during the current test.
+        Keep the folders of fleets that ran during the current test.
 
-        :returns: the folders.
+        :returns: these folders.
         """
         folders = self._running | self._closed
-        self._kept |= folders
+        self._retained |= folders
         return sorted(folders)
 
     def test_ended(self) -> None:
-        """Remove the folders of closed fleets that no failed test used."""
-        for folder in self._closed - self._kept:
+        """Remove the folders of closed fleets that ran during no failed test."""
+        for folder in self._closed - self._retained:
             shutil.rmtree(folder)
         self._closed.clear()
 
 
 class Fleet:
     """
-    Processes by name, with the settings files that they read.
+    Named processes and the settings files that they read.
 
-    :ivar retention: decides which folders are kept; without it all are removed.
+    :ivar retention: decides which folders are kept; if ``None``, all are removed.
     """
 
     retention: ClassVar[LogRetention | None] = None
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create a fleet without processes."""
         parent = self.retention.parent if self.retention else None
         self.folder = Path(tempfile.mkdtemp(prefix="pimentolink-", dir=parent))
         if self.retention:
@@ -225,15 +229,15 @@
         self.metrics_by_gateway: dict[str, str] = {}
 
     def __enter__(self) -> Fleet:
-        """Use as a context: every process is ended with it."""
+        """Return the fleet, whose processes end with the context."""
         return self
 
     def __exit__(self, *_: object) -> None:
-        """End every process."""
+        """Kill all processes."""
         self.close()
 
     def close(self) -> None:
-        """End every process that is left, and wait for it."""
+        """Kill all running processes and wait for their end."""
         for process in self.processes_by_name.values():
             if process.is_running:
                 process.send(signal.SIGCONT)
@@ -259,7 +263,7 @@
         self.write("platform", self.platform_settings())
 
     def platform_settings(self) -> dict[str, Any]:
-        """Tell where the platform's services are."""
+        """Return settings with the addresses of the platform's services."""
         return {
             "key_value": self.address("key_value"),
             "instance_list": self.address("instance_list"),
@@ -272,7 +276,7 @@
     def start_sidecar(
         self, target: str, data_centre: str, address: str | None = None, **extra: Any
     ) -> Process:
-        """Start the sidecar of a target that runs already."""
+        """Start the sidecar of a target that is already running."""
         name = f"sidecar-{target}"
         address = address or f"127.0.0.1:{free_port()}"
         settings = {
@@ -309,7 +313,7 @@
         return self._launch(name, ["pimentolink.cli", "entry", str(path)], address)
 
     def start_gateway(self, name: str, **extra: Any) -> Process:
-        """Start a gateway on the platform's stand-ins."""
+        """Start a gateway that uses the stand-in of the platform's store."""
         listen, readiness, peers, metrics = (
             f"127.0.0.1:{free_port()}" for _ in range(4)
         )
@@ -331,45 +335,47 @@
         return self._launch(name, arguments, listen, (readiness, metrics))
 
     def start_again(self, name: str) -> Process:
-        """Start a process that ended, as it was started before."""
-        before = self.processes_by_name[name]
-        return self._launch(name, before.arguments, before.address, before.further)
+        """Restart a process that has ended, with the same arguments."""
+        previous = self.processes_by_name[name]
+        return self._launch(
+            name, previous.arguments, previous.address, previous.other_addresses
+        )
 
     def _launch(
         self,
         name: str,
         arguments: list[str],
         address: str,
-        further: tuple[str, ...] = (),
+        other_addresses: tuple[str, ...] = (),
     ) -> Process:
-        process = Process(name, arguments, address, self.folder, further)
+        process = Process(name, arguments, address, self.folder, other_addresses)
         self.processes_by_name[name] = process
         self._starting.append(process)
         return process
 
     def settle(self) -> None:
-        """Wait until every process that was started listens."""
+        """Wait until every started process accepts connections."""
         starting, self._starting = self._starting, []
         for process in starting:
             wait_until(process.listens, what=f"{process.name} to listen")
 
     def write(self, name: str, value: Any) -> Path:
-        """Write a JSON file; return its path."""
+        """Write a JSON file and return its path."""
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(value))
         return path
 
     def address(self, name: str) -> str:
-        """Tell where a process listens."""
+        """Return the address on which a process listens."""
         return self.processes_by_name[name].address
 
     def url(self, name: str, path: str) -> str:
-        """Make a URL of a process, which is waited for if it has just started."""
+        """Return a URL of a process once it accepts connections."""
         self.settle()
         return f"http://{self.address(name)}{path}"
 
     def command(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run the command line to its end."""
+        """Run the command-line interface and wait for its end."""
         return subprocess.run(
             [sys.executable, "-m", "pimentolink.cli", *arguments],
             capture_output=True,
@@ -379,16 +385,16 @@
         )
 
     def apply(self, configuration: dict[str, Any]) -> None:
-        """Apply a configuration with the command line."""
+        """Apply a configuration with the command-line interface."""
         self.settle()
         path = self.write("configuration", configuration)
         platform = str(self.folder / "platform.json")
-        done = self.command("config", "apply", str(path), "--platform", platform)
-        if done.returncode:
-            raise RuntimeError(done.stderr)
+        result = self.command("config", "apply", str(path), "--platform", platform)
+        if result.returncode:
+            raise RuntimeError(result.stderr)
 
     def faults(self) -> list[str]:
-        """List the lines in which a process tells of a fault of its own."""
+        """List the log lines with unhandled errors and tracebacks."""
         return [
             f"{name}: {line}"
             for name, process in self.processes_by_name.items()
@@ -397,14 +403,20 @@
         ]
 
     def wait_ready(self, entry: str, targets: list[str]) -> None:
-        """Wait until an entry can reach all of these targets."""
+        """Wait until an entry reports all of these targets as available."""
 
         def is_ready() -> bool:
             headers = {"authorization": f"Bearer {SHARED_KEY}"}
-            told = call(self.url(entry, "/pimentolink/status"), headers=headers).json
+            status_report = call(
+                self.url(entry, "/pimentolink/status"), headers=headers
+            ).json
             available = {
-                target["target"] for target in told["targets"] if target["available"]
+                target["target"]
+                for target in status_report["targets"]
+                if target["available"]
             }
-            return bool(told["configuration_version"]) and available >= set(targets)
+            return bool(status_report["configuration_version"]) and available >= set(
+                targets
+            )
 
         wait_until(is_ready, what=f"{entry} to reach {targets}")
--- a/tools/platformworld.py
+++ b/tools/platformworld.py
@@ -1,4 +1,4 @@
-"""A small deployment of the users' platform, of stand-ins, on loopback."""
+"""A small deployment of the users' platform on loopback, with stand-ins."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PlatformWorld:
-    """Store, engines, plain targets and gateways as processes."""
+    """Processes of a store, engines, plain targets and gateways."""
 
     def __init__(self, fleet: Fleet) -> None:
         """Start the store."""
@@ -25,10 +25,10 @@
         fleet.settle()
 
     def target(self, name: str, service: str, phase: str = "", **options: Any) -> None:
-        """Start a target and have it listed."""
-        words = [f"--{key}={value}" for key, value in options.items()]
-        words += [f"--instance={name}"] + ([f"--phase={phase}"] if phase else [])
-        self.fleet.start(name, "standins.platform_engine", *words)
+        """Start a target and write its entry to the store."""
+        arguments = [f"--{key}={value}" for key, value in options.items()]
+        arguments += [f"--instance={name}"] + ([f"--phase={phase}"] if phase else [])
+        self.fleet.start(name, "standins.platform_engine", *arguments)
         self.list_target(name, service, phase)
 
     def list_target(
@@ -39,7 +39,7 @@
         state: str = "ready",
         born: int = 0,
     ) -> None:
-        """Write the entry of a target, which tells itself when it started."""
+        """Write the entry of a target; its start time is queried if ``born`` is 0."""
         entry = {
             "service": service,
             "address": self.fleet.address(name),
@@ -52,17 +52,17 @@
         self.put(f"servers/{name}", entry | ({"phase": phase} if phase else {}))
 
     def born(self, name: str) -> int:
-        """Ask a target when it started."""
+        """Return the start time of a target in milliseconds."""
         return int(call(self.fleet.url(name, "/report")).json["born"])
 
     def put(self, key: str, value: Any) -> None:
-        """Write a key as the operator or a target does."""
+        """Write a key on behalf of the operator or a target."""
         body = {"value": base64.b64encode(json.dumps(value).encode()).decode()}
         path = f"/operator?key={key}"
         call(self.fleet.url("store", path), "PUT", body)
 
     def remove(self, key: str) -> None:
-        """Remove a key."""
+        """Remove a key on behalf of the operator or a target."""
         call(self.fleet.url("store", f"/operator?key={key}"), "PUT", b"null")
 
     def configure(
@@ -75,12 +75,12 @@
         Write a configuration.
 
         :param version: higher than the one before.
-        :param keys_by_organisation: API keys; none are asked for without.
-        :param extra_routes: further routes, named with their service.
+        :param keys_by_organisation: API keys; without them requests need none.
+        :param extra_routes: services of additional routes, by name of the route.
         """
 
-        def route(name: str, kind: str, service: str, **more: Any) -> dict[str, Any]:
-            told = {
+        def route(name: str, kind: str, service: str, **extra: Any) -> dict[str, Any]:
+            settings = {
                 "name": name,
                 "host": HOST,
                 "prefix": f"/{name}/",
@@ -91,7 +91,7 @@
                 "maxAttempts": 2,
                 "priority": 1,
             }
-            return told | more
+            return settings | extra
 
         routes = [
             route("read", "idempotent", "plain"),
@@ -108,17 +108,17 @@
             {"name": "llm", "maxConnections": 100, "engine": engine},
             {"name": "plain", "maxConnections": 100},
         ]
-        told = {"version": version, "routes": routes, "services": services}
+        configuration = {"version": version, "routes": routes, "services": services}
         if keys_by_organisation is not None:
-            told["tenants"] = [
+            configuration["tenants"] = [
                 {"name": name, "apiKeys": keys}
                 for name, keys in keys_by_organisation.items()
             ]
-        self.put("op/config", told)
+        self.put("op/config", configuration)
 
     def start_usual(self, **settings: Any) -> None:
         """
-        Start two engines, two plain targets and one gateway that is ready.
+        Start two engines, two plain targets and one gateway, and wait until ready.
 
         :param settings: additional settings of the gateway.
         """
@@ -136,7 +136,7 @@
         wait_until(lambda: self.is_ready(name), what=f"{name} to be ready")
 
     def is_ready(self, name: str) -> bool:
-        """Ask a gateway whether it is ready."""
+        """Check the readiness endpoint of a gateway."""
         url = f"http://{self.fleet.readiness_by_gateway[name]}/readyz"
         return call(url).status == 200
 
@@ -148,19 +148,19 @@
         headers: dict[str, str] | None = None,
         gateway: str = "gateway",
     ) -> tuple[Reply, str]:
-        """Make one request; return the answer and its id."""
-        name = uuid4().hex[:16]
-        told = {
+        """Make a request; return the response and the request id."""
+        request_id = uuid4().hex[:16]
+        all_headers = {
             "Host": HOST,
-            "Pimentolink-Request-Id": name,
+            "Pimentolink-Request-Id": request_id,
             "Pimentolink-Deadline-Ms": "5000",
             **(headers or {}),
         }
-        found = call(self.fleet.url(gateway, path), method, body, told)
-        return found, name
+        reply = call(self.fleet.url(gateway, path), method, body, all_headers)
+        return reply, request_id
 
     def generate(self, path: str, **headers: str) -> tuple[Reply, str]:
-        """Ask a model for an answer; return it and its id."""
+        """Request a completion; return the response and the request id."""
         return self.request(
             path,
             headers={
@@ -172,33 +172,33 @@
         )
 
     def fault(self, name: str, **faults: Any) -> None:
-        """Switch faults of a stand-in on or off."""
+        """Enable or disable faults of a stand-in."""
         call(self.fleet.url(name, "/faults"), "PUT", faults)
 
     def runs(self, name: str) -> Any:
-        """Ask a target what it ran."""
+        """Return the requests that a target has run."""
         return call(self.fleet.url(name, "/runs")).json
 
     def raw(self, data: bytes, gateway: str = "gateway", within: float = 5.0) -> bytes:
-        """Send bytes and read until the gateway closes or falls silent."""
+        """Send bytes and read until the gateway closes or the timeout expires."""
         host, _, port = self.fleet.address(gateway).rpartition(":")
-        with socket.create_connection((host, int(port)), timeout=within) as found:
-            found.sendall(data)
+        with socket.create_connection((host, int(port)), timeout=within) as connected:
+            connected.sendall(data)
             received = b""
             try:
-                while piece := found.recv(65536):
-                    received += piece
+                while chunk := connected.recv(65536):
+                    received += chunk
             except TimeoutError:
                 pass
             return received
 
     def connection(self, gateway: str = "gateway") -> http.client.HTTPConnection:
-        """Make a connection to a gateway."""
+        """Create an HTTP connection to a gateway."""
         host, _, port = self.fleet.address(gateway).rpartition(":")
         return http.client.HTTPConnection(host, int(port), timeout=10)
 
     def logged(self, gateway: str, request_id: str) -> list[dict[str, Any]]:
-        """Read the lines that a gateway logged of a request."""
+        """Return the log lines of a gateway about a request."""
         text = self.fleet.processes_by_name[gateway].log_path.read_text()
         lines = [json.loads(line) for line in text.splitlines() if line[:1] == "{"]
         return [line for line in lines if line.get("request") == request_id]
