--- a/pimentolink/gateway.py
+++ b/pimentolink/gateway.py
@@ -1,4 +1,4 @@
-"""A gateway: an entry that passes callers' requests straight to targets."""
+"""A gateway: receives callers' requests and forwards them directly to targets."""
 
 from __future__ import annotations
 
@@ -52,23 +52,24 @@
 from pimentolink.timers import Repeater, Timers, pause
 from pimentolink.usagereporter import UsageApi
 
-# Seconds between two looks at the settings file, which may change without a signal.
+# Seconds between two reads of the settings file, which may change without a signal.
 RELOAD_INTERVAL = 5.0
-# Seconds after a stop's begin until idle connections are closed: the balancer takes
-# this long to notice that the gateway is not ready.
-LEAVE_TIME = 2.5
-# Seconds beyond it until no new request is taken: one that comes later could not be
-# finished before the bound on the stop, and is refused as not run instead of cut off.
-LAST_WORK = 0.4
-# Seconds before the bound on a stop at which work that is left is cut off.
-CUT_BEFORE = 0.5
+# Seconds from the start of a graceful stop until idle connections are closed: the load
+# balancer takes this long to notice that the gateway is not ready.
+IDLE_CLOSE_DELAY = 2.5
+# Seconds after that for which new requests are still accepted. A later one could not
+# finish before the time limit of the stop, so it is refused as not run instead of being
+# aborted.
+FINAL_ACCEPT_TIME = 0.4
+# Seconds before the time limit of a stop at which unfinished requests are aborted.
+ABORT_MARGIN = 0.5
 
 
 ReadSettings = Callable[[], Result[GatewaySettings, SettingsInvalid]]
 
 
 class Gateway:
-    """All parts of a gateway, put together."""
+    """Creates the components of a gateway and connects them."""
 
     def __init__(
         self,
@@ -82,42 +83,42 @@
         usage_api: UsageApi | None = None,
     ) -> None:
         """
-        Open nothing yet.
+        Create the components; :meth:`start` opens ports and connections.
 
-        :param reactor: the loop.
+        :param reactor: the Twisted reactor.
         :param settings: of the gateway.
         :param keyspace: the store.
-        :param dialect: the deployment's headers and bodies.
-        :param documents: reads the store's documents.
+        :param dialect: builds and parses the deployment's headers and bodies.
+        :param documents: parses the store's documents.
         :param timers: the timer service.
         :param read_settings: reads the settings file again.
-        :param usage_api: takes reports of usage; ``None`` if nobody does.
+        :param usage_api: receives usage reports; ``None`` if there are none to send.
         """
         self._reactor = reactor
         self._settings = settings
         self._keyspace = keyspace
         self._read_settings = read_settings
         self._timers = timers
-        self._life = uuid4().hex[:8]
-        self.log = Log(instance=settings.instance, life=self._life)
+        self._incarnation = uuid4().hex[:8]
+        self.log = Log(instance=settings.instance, life=self._incarnation)
         self.metrics = Metrics()
-        self._random = Random(self._life)
+        self._random = Random(self._incarnation)
         self._cells = Cells()
         self._cell_gateways: tuple[str, ...] = ()
         self._own_delay = GatewayDelay()
         self._egress_queue = EgressQueue(settings.link_megabits, timers)
         self.tables = RoutingTables()
-        bound = settings.revoke_within_ms
-        self._revoke_within = bound / 1000 if bound is not None else None
+        limit_ms = settings.revoke_within_ms
+        self._revoke_within = limit_ms / 1000 if limit_ms is not None else None
         self.age = ConfigurationAge(self._revoke_within, timers, self.log)
         self.fleet = Fleet(settings.placement, settings.ejection, self._random)
         self.budgets = SharedBudgets(settings, timers)
         self._dialect = dialect
         self._peers = PeerProtocol(
             settings.instance,
-            self._life,
+            self._incarnation,
             self.fleet,
-            self._news,
+            self._dispatch_prefills,
             timers,
             self.log,
             self.metrics,
@@ -125,7 +126,7 @@
         )
         self._quarantine = Quarantine(
             settings,
-            self._life,
+            self._incarnation,
             keyspace,
             self._peers,
             timers,
@@ -152,7 +153,7 @@
             self._egress_queue,
             self._own_delay,
         )
-        self.readings = self._make_readings(placer)
+        self.readings = self._make_prefill_scheduler(placer)
         self.forwarder = self._make_forwarder(placer)
         self.membership = self._make_membership(documents)
         self._follower = KeyspaceFollower(
@@ -166,42 +167,42 @@
         )
         self.readings.belief_age = self._follower.age
         self._registration = Registration(
-            settings, self._life, keyspace, timers, self._random, self.log
+            settings, self._incarnation, keyspace, timers, self._random, self.log
         )
-        self._registration.on_store_back = self._read_again
+        self._registration.on_store_back = self._reread_store
         self._registration.on_renewed = self.budgets.share.lease_renewed
         self._registration.on_lost = self.budgets.share.lease_lost
-        self._follower.may_ask = self._may_ask_store
+        self._follower.may_ask = self._may_call_store
         self.leadership = Leadership(
-            settings, self._life, keyspace, timers, self._random, self.log
+            settings, self._incarnation, keyspace, timers, self._random, self.log
         )
         self.membership.on_leader = self.leadership.key_changed
-        self.leadership.lead = self._make_orders().lead
-        self._verifier = self._make_prover(documents, keyspace)
+        self.leadership.lead = self._make_role_controller().lead
+        self._verifier = self._make_configuration_verifier(documents, keyspace)
         self._metering = self._make_metering(keyspace, usage_api)
         keyspace.on_restored = self._store_restored
         self._factory = CallerFactory(
             self.forwarder,
-            self._bounds,
+            self._caller_bounds,
             self._request_id,
             timers,
             self.log,
             self.metrics,
         )
         self._ports: list[Any] = []
-        self._reloading: Repeater | None = None
-        self._freezes = StallDetector(timers, self.log, self._thawed)
+        self._reload_repeater: Repeater | None = None
+        self._stall_detector = StallDetector(timers, self.log, self._stall_ended)
         self.is_stopping = False
 
-    def _make_readings(self, placer: Placer) -> PrefillScheduler:
-        self._queue = PrefillQueue(self._settings.placement, placer)
-        self._peers.waiting_work = self._queue.waiting_work
+    def _make_prefill_scheduler(self, placer: Placer) -> PrefillScheduler:
+        self._prefill_queue = PrefillQueue(self._settings.placement, placer)
+        self._peers.waiting_work = self._prefill_queue.waiting_work
         readings = PrefillScheduler(
-            self._queue,
+            self._prefill_queue,
             self._peers,
             self._timers,
             self.log,
-            self._life,
+            self._incarnation,
             self._own_delay,
         )
         self._peers.open_prefills = readings.open_prefills
@@ -228,17 +229,21 @@
                 self.log,
             )
             membership.on_first_read = learning.ask_all
-        membership.on_changed = self._fleet_changed
+        membership.on_changed = self._membership_changed
         self._peers.address_of = membership.address_of
         membership.on_gone = self._caller.forget
         membership.on_life_ended = self._quarantine.reports.target_ended
         membership.on_suspects = self._quarantine.store.key_changed
         return membership
 
-    def _make_prover(
+    def _make_configuration_verifier(
         self, documents: Documents, keyspace: Keyspace
     ) -> ConfigurationVerifier | None:
-        """Make what keeps the configuration proven, where keys are bound to it."""
+        """
+        Create the verifier that keeps the configuration confirmed as current.
+
+        :returns: ``None`` if the settings do not limit the use of revoked API keys.
+        """
         if self._revoke_within is None:
             return None
         verifier = ConfigurationVerifier(
@@ -250,15 +255,15 @@
             self._peers,
             self._timers,
         )
-        verifier.is_needed = self._has_keys
-        verifier.may_ask = self._may_ask_store
+        verifier.is_needed = self._uses_api_keys
+        verifier.may_ask = self._may_call_store
         verifier.gateways = lambda: self._cell_gateways
         verifier.version = lambda: self.tables.table.version if self.tables.table else 0
         self._peers.on_proof = verifier.take
         verifier.on_change = self.membership.key_changed
         return verifier
 
-    def _has_keys(self) -> bool:
+    def _uses_api_keys(self) -> bool:
         table = self.tables.table
         return table is not None and table.api_keys is not None
 
@@ -270,7 +275,7 @@
             return None
         metering = Metering(
             settings.usage,
-            self._life,
+            self._incarnation,
             self.leadership,
             keyspace,
             usage_api,
@@ -283,10 +288,10 @@
         self.forwarder.on_run = metering.begun
         return metering
 
-    def _make_orders(self) -> RoleController:
+    def _make_role_controller(self) -> RoleController:
         balancer = RoleBalancer(self._settings.roles, self.fleet)
-        balancer.unmet_prefill = self._unmet_reading
-        orders = RoleController(
+        balancer.unmet_prefill = self._estimate_unmet_prefill
+        controller = RoleController(
             self.leadership,
             balancer,
             self.fleet,
@@ -296,8 +301,8 @@
             self._timers,
             self.log,
         )
-        orders.services = self._engine_services
-        return orders
+        controller.services = self._engine_services
+        return controller
 
     def _make_forwarder(self, placer: Placer) -> Forwarder:
         settings, timers = self._settings, self._timers
@@ -333,11 +338,11 @@
         )
 
     async def start(self) -> None:
-        """Listen and begin."""
+        """Open the ports and start the periodic work."""
         for address, factory in (
             (self._settings.listen, self._factory),
-            (self._settings.readiness, self._factory_of(self._ready)),
-            (self._settings.metrics, self._factory_of(self._metrics_page)),
+            (self._settings.readiness, self._make_page_factory(self._readiness_page)),
+            (self._settings.metrics, self._make_page_factory(self._metrics_page)),
         ):
             host, port = split_address(address)
             self._ports.append(
@@ -353,7 +358,7 @@
         host, port = split_address(self._settings.peers)
         self._ports.append(self._reactor.listenUDP(port, self._peers, interface=host))
         self._follower.start()
-        self._freezes.start()
+        self._stall_detector.start()
         self._registration.start()
         self.leadership.start()
         self._peers.start()
@@ -361,57 +366,58 @@
             self._verifier.start()
         if self._metering is not None:
             self._metering.start()
-        self._reloading = Repeater(self._timers, RELOAD_INTERVAL, self.reload)
+        self._reload_repeater = Repeater(self._timers, RELOAD_INTERVAL, self.reload)
         self.log.write(LogEvent.STARTED, settings=msgspec.to_builtins(self._settings))
 
     async def stop(self) -> None:
-        """Take no more work, finish what is under way."""
+        """Stop gracefully: accept no more requests and finish those in flight."""
         self.is_stopping = True
         began_at = self._timers.now()
         self.log.write(LogEvent.STOPPING, in_work=self.forwarder.in_work)
         self._factory.announce_close()
         self._registration.stop()
         self.leadership.stop()
-        await pause(self._timers, LEAVE_TIME)
+        await pause(self._timers, IDLE_CLOSE_DELAY)
         self._factory.close_idle()
-        await pause(self._timers, LAST_WORK)
+        await pause(self._timers, FINAL_ACCEPT_TIME)
         self.forwarder.is_closing = True
-        bound = began_at + self._settings.stop_within - CUT_BEFORE
-        while self._factory.connections and self._timers.now() < bound:
+        deadline = began_at + self._settings.stop_within - ABORT_MARGIN
+        while self._factory.connections and self._timers.now() < deadline:
             await pause(self._timers, 0.05)
         if self._factory.connections:
             self.log.write(LogEvent.STOP_TIMEOUT, in_work=self.forwarder.in_work)
         self._follower.stop()
-        self._freezes.stop()
+        self._stall_detector.stop()
         if self._verifier is not None:
             self._verifier.stop()
         if self._metering is not None:
             self._metering.stop()
         self._peers.stop()
         self._quarantine.store.stop()
-        if self._reloading is not None:
-            self._reloading.cancel()
+        if self._reload_repeater is not None:
+            self._reload_repeater.cancel()
         self.log.write(LogEvent.STOPPED)
 
     def reload(self) -> None:
-        """Read the settings again; those that are invalid change nothing."""
-        found = self._read_settings()
-        if isinstance(found, Err):
-            self.log.write(LogEvent.SETTINGS_INVALID, detail=str(found.err_value))
+        """Read the settings again; invalid settings are logged and ignored."""
+        loaded = self._read_settings()
+        if isinstance(loaded, Err):
+            self.log.write(LogEvent.SETTINGS_INVALID, detail=str(loaded.err_value))
             return
-        settings = found.ok_value
+        settings = loaded.ok_value
         if settings == self._settings:
             return
         fields = msgspec.structs.asdict(settings)
-        before = msgspec.structs.asdict(self._settings)
-        changed = sorted(name for name in fields if fields[name] != before[name])
-        # Parts hold their settings; only these are read at each use.
+        previous = msgspec.structs.asdict(self._settings)
+        changed = sorted(name for name in fields if fields[name] != previous[name])
+        # Components keep the settings that they were created with; only the retry
+        # budget is read at each use.
         self.budgets.settings = settings.budget
-        later = [name for name in changed if name != "budget"]
+        deferred = [name for name in changed if name != "budget"]
         self._settings = settings
-        self.log.write(LogEvent.RELOADED, changed=changed, at_next_start=later)
+        self.log.write(LogEvent.RELOADED, changed=changed, at_next_start=deferred)
 
-    def _bounds(self) -> CallerBounds:
+    def _caller_bounds(self) -> CallerBounds:
         table = self.tables.table
         if table is not None and table.bounds is not None:
             return table.bounds
@@ -430,25 +436,31 @@
         services = table.services_by_name.values()
         return [service.name for service in services if service.engine is not None]
 
-    def _unmet_reading(self, service: str) -> float:
-        """Estimate what all gateways turn away, from what this one does."""
+    def _estimate_unmet_prefill(self, service: str) -> float:
+        """
+        Estimate the prefill work that all gateways refuse, from that of this one.
+
+        :returns: engine seconds a second.
+        """
         gateways = max(1, len(self.membership.gateways_by_name))
-        return self._queue.unmet(service, self._timers.now()) * gateways
+        return self._prefill_queue.unmet(service, self._timers.now()) * gateways
 
     def _max_connections(self, service: str) -> int:
-        """Tell this gateway's part of the connections that a target takes."""
-        most = self._settings.connections.most
+        """Return this gateway's share of the connections that a target accepts."""
+        limit = self._settings.connections.most
         table = self.tables.table
-        found = table.services_by_name.get(service) if table is not None else None
-        if found is None:
-            return most
-        return max(1, min(most, found.max_connections // self.budgets.gateways))
+        configured = table.services_by_name.get(service) if table is not None else None
+        if configured is None:
+            return limit
+        return max(1, min(limit, configured.max_connections // self.budgets.gateways))
 
-    def _fleet_changed(self) -> None:
+    def _membership_changed(self) -> None:
         gateways = self.membership.gateways_by_name
         settings = self._settings
-        places = {name: entry.data_centre for name, entry in gateways.items()}
-        has_changed = self._cells.divide(places)
+        data_centre_by_gateway = {
+            name: entry.data_centre for name, entry in gateways.items()
+        }
+        has_changed = self._cells.divide(data_centre_by_gateway)
         cell = self._cells.of(settings.instance, settings.data_centre)
         if has_changed:
             self.fleet.divide(self._cells, cell)
@@ -464,53 +476,55 @@
         self.budgets.share.listed_count.update(len(gateways))
         self.readings.look()
 
-    def _news(self) -> None:
+    def _dispatch_prefills(self) -> None:
         self.readings.look()
 
-    def _thawed(self) -> None:
-        """Read the store again before anything rests on older belief."""
+    def _stall_ended(self) -> None:
+        """Read the store again, since its state may have changed during the stall."""
         self.fleet.forgive(self._timers.now())
-        self._read_again()
+        self._reread_store()
         self._registration.check()
         self.leadership.distrust()
 
-    def _may_ask_store(self) -> bool:
+    def _may_call_store(self) -> bool:
         return self._registration.is_answered
 
-    def _read_again(self) -> None:
-        """Read the store again, which may have changed unseen."""
+    def _reread_store(self) -> None:
+        """Read the store again, which may have changed unnoticed."""
         self._follower.restart()
         if self._verifier is not None:
             self._verifier.restart()
 
     def _store_restored(self) -> None:
-        """Read the store again, and write again what it lost."""
+        """Read the store again, and write again what the restore lost."""
         self.log.write(LogEvent.STORE_RESTORED, epoch=self._keyspace.epoch)
-        self._read_again()
+        self._reread_store()
         self._registration.check()
         self._quarantine.store.restored()
 
     def is_ready(self) -> bool:
-        """Tell whether callers should be sent here."""
+        """Return whether the load balancer should send callers to this gateway."""
         return (
             not self.is_stopping
             and self.tables.table is not None
             and self.membership.is_known
-            and (not self._has_keys() or self.age.is_current())
+            and (not self._uses_api_keys() or self.age.is_current())
         )
 
-    def _factory_of(self, page: Callable[[], tuple[int, bytes]]) -> CallerFactory:
+    def _make_page_factory(
+        self, page: Callable[[], tuple[int, bytes]]
+    ) -> CallerFactory:
         handler = Page(page)
         return CallerFactory(
             handler,
-            self._bounds,
+            self._caller_bounds,
             self._request_id,
             self._timers,
             self.log,
             self.metrics,
         )
 
-    def _ready(self) -> tuple[int, bytes]:
+    def _readiness_page(self) -> tuple[int, bytes]:
         return (200, b"ready\n") if self.is_ready() else (503, b"not ready\n")
 
     def _metrics_page(self) -> tuple[int, bytes]:
--- a/pimentolink/gatewaysettings.py
+++ b/pimentolink/gatewaysettings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway: an entry that passes requests straight to targets."""
+"""Settings of a gateway, which forwards requests directly to targets."""
 
 from __future__ import annotations
 
@@ -11,19 +11,21 @@
 
 class ConnectionSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    Connections that a gateway opens.
-
-    :ivar connect: seconds until a connection that is not made counts as failed; an
-        instance behind a partition does not answer at all.
-    :ivar idle: seconds that a connection is kept unused at most.
-    :ivar idle_once: the same before a request that may not be repeated, which a
-        connection that closes under it would lose.
-    :ivar most: connections to one target at once; fewer if the target's own bound,
-        shared by all gateways, says so.
-    :ivar probe_after: seconds of silence before a keep-alive probe.
+    Settings of the connections that a gateway opens.
+
+    :ivar connect: connect timeout in seconds; an instance behind a network partition
+        does not answer at all.
+    :ivar idle: longest time in seconds for which an unused connection is kept.
+    :ivar idle_once: longest time in seconds for which a connection may have been
+        unused when it is given a request that may not be repeated. Such a request would
+        be lost if the target closed the connection as it was sent.
+    :ivar most: largest number of connections to one target; fewer if this gateway's
+        share of the connections that the target accepts is smaller.
+    :ivar probe_after: seconds of silence before the first TCP keep-alive probe.
     :ivar probe_interval: seconds between probes.
-    :ivar probes: probes missed after which a connection counts as lost.
-    :ivar unacknowledged: seconds that sent bytes may stay without acknowledgement.
+    :ivar probes: unanswered probes after which a connection counts as lost.
+    :ivar unacknowledged: seconds for which sent bytes may stay unacknowledged before
+        the connection counts as lost.
     """
 
     connect: Seconds = 0.6
@@ -38,18 +40,20 @@
 
 class StoreSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    The store that holds the configuration and the list of targets.
+    Settings of the store that holds the configuration and the list of targets.
 
-    :ivar address: where it answers.
-    :ivar timeout: seconds until a call counts as unanswered.
-    :ivar watch_wait: seconds that one waiting watch lasts; each costs a call.
-    :ivar gather: seconds between changes and the next watch, so that changes that come
-        together cost each gateway one call.
-    :ivar backoff_first: seconds of the first pause after a failed call.
-    :ivar backoff_most: seconds of the longest pause.
-    :ivar return_time: seconds after an outage within which targets that live are
-        listed again; those still missing then are gone.
-    :ivar lease: seconds that this process's entry outlives it.
+    :ivar address: host and port of the store.
+    :ivar timeout: timeout of a call in seconds.
+    :ivar watch_wait: seconds for which one watch waits for changes; each watch costs a
+        call.
+    :ivar gather: seconds between a change and the next watch, so that changes that
+        follow each other closely cost each gateway one call.
+    :ivar backoff_first: first delay in seconds after a failed call.
+    :ivar backoff_most: longest delay in seconds between calls that fail.
+    :ivar return_time: seconds after an outage of the store within which running targets
+        register again; targets still missing then are removed.
+    :ivar lease: lifetime in seconds of the lease on this process's entry, which stays
+        listed for as long after the process has ended.
     """
 
     address: Address
@@ -64,12 +68,12 @@
 
 class CallerSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    Bounds on callers until the configuration states its own.
+    Limits for callers, which apply until the configuration sets its own.
 
-    :ivar head_bytes: largest head of a request.
-    :ivar body_bytes: largest body.
-    :ivar head_time: seconds that a request's head may take.
-    :ivar idle_time: seconds that a connection may stay unused.
+    :ivar head_bytes: largest size of a request's head.
+    :ivar body_bytes: largest size of a request's body.
+    :ivar head_time: seconds within which a request's head must arrive.
+    :ivar idle_time: seconds after which an unused connection is closed.
     """
 
     head_bytes: Count = 16_384
@@ -80,27 +84,31 @@
 
 class PlacementSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    How prompts wait and where they are read.
-
-    :ivar first_rate: prompt tokens a second that an engine is taken to read until
-        four readings of its service have ended; too high costs some that wait at
-        engines then, too low would turn prompts away that could be served.
-    :ivar writer_share: share of a reader's rate that an engine which also writes
-        answers has until its own readings have been timed.
-    :ivar depth: seconds of reading sent to an engine ahead of need; more is kept
-        here, where it can still be reordered.
-    :ivar duplicate_cost: weight of the engine time that a placement takes, against
-        the seconds until it is done; keeps prompts with the engine that holds them.
-    :ivar late_factor: share of the latency target beyond which a prediction turns a
-        prompt away; the rest is for the hand-over, the first token, and for what goes
-        first that comes later. With all of it, the engines under lasting load were as
-        busy, but more of what they read was late: worth 0.589 instead of 0.615 to
-        0.621 with 0.85 and 0.7 (three days, two seeds each).
-    :ivar interference: weight of the time for which a reading slows each answer that
-        the same engine writes.
-    :ivar remote_cost: seconds added for a target in another data centre.
-    :ivar remote_fetch: share of a writer's slots that a fetch between data centres
-        counts for; it takes twice as long as one inside and costs up to three times.
+    Settings of how prompts are queued and which engines prefill them.
+
+    :ivar first_rate: assumed prefill rate of an engine, in prompt tokens a second,
+        until four prefills of its service have ended. If it is too high, some prompts
+        wait at engines for that time; if it is too low, prompts are refused that could
+        be served.
+    :ivar writer_share: assumed prefill rate of an engine that also generates responses,
+        as a share of that of a prefill engine, until its own prefills have been
+        measured.
+    :ivar depth: seconds of prefill work sent to an engine in advance; further prompts
+        stay in the gateway's queue, where they can still be reordered.
+    :ivar duplicate_cost: weight of the engine time that a placement takes, relative to
+        the seconds until it is done; favours engines that hold the prompt's prefix in
+        their cache.
+    :ivar late_factor: share of the latency target beyond which a predicted latency
+        causes a prompt to be refused. The rest is left for the handover to the decode
+        engine, the first token, and later prompts that are prefilled first. With a
+        factor of 1, engines under sustained load were just as busy, but more of the
+        prompts that they prefilled were late.
+    :ivar interference: weight of the time for which a prefill slows each response that
+        the same engine generates.
+    :ivar remote_cost: seconds added to the cost of a target in another data centre.
+    :ivar remote_fetch: share of a decode engine's slots that a KV cache fetch between
+        data centres counts for; it takes twice as long as one within a data centre and
+        costs up to three times as much.
     """
 
     first_rate: Count = 1_000_000
@@ -115,13 +123,13 @@
 
 class EjectionSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    When a target gets no work for a while.
+    When a target is ejected, which means that it gets no work for a time.
 
-    :ivar failures: failures in a row that eject it.
-    :ivar first: seconds of the first ejection; each further one doubles it.
-    :ivar most: seconds of the longest.
-    :ivar most_share: share of a service's targets that may be ejected at once, so
-        that bad news about all of them does not stop the service.
+    :ivar failures: consecutive failures after which a target is ejected.
+    :ivar first: seconds of the first ejection; each further one lasts twice as long.
+    :ivar most: longest ejection in seconds.
+    :ivar most_share: share of a service's targets that may be ejected at once, so that
+        failures of all of them do not stop the service.
     """
 
     failures: Count = 2
@@ -132,13 +140,13 @@
 
 class BudgetSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    Bounds on repeated attempts, over all gateways together.
+    Retry budget of all gateways together.
 
-    :ivar ratio: repeated attempts to a service for each request to it.
-    :ivar slack: repeated attempts more, in each window, shared by all gateways. One
-        that has just started, or whose lease in the store lapsed, uses none of it for
-        a window and the lease.
-    :ivar window: seconds over which they are counted.
+    :ivar ratio: retries that each request to a service earns.
+    :ivar slack: further retries in each window, shared by all gateways. A gateway that
+        has just started, or whose lease in the store has expired, uses none of them for
+        the length of a window and a lease.
+    :ivar window: seconds over which retries are counted.
     """
 
     ratio: Ratio = 0.2
@@ -148,20 +156,22 @@
 
 class RoleSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    How many engines read prompts and how many write answers.
+    How a service's engines are divided into prefill and decode engines.
 
-    :ivar fill: share of a writer's slots that answers may take before writers are
-        short; the rest is for bursts.
-    :ivar least_share: share of a service's engines that write at least.
-    :ivar least_count: engines that write at least; with one, its crash stops the
-        service for as long as a change of role takes.
-    :ivar least_from: engines of a service from which on that holds; with fewer, a
-        second writer costs more reading than its crash would.
-    :ivar horizon: seconds over which what roles have cost is forgotten; swings that
-        are shorter cause no change.
-    :ivar pause: seconds between two changes in a service.
-    :ivar most_changing: share of a service's engines that may change at a time, one at
-        least; one by one, a large fleet was still on its way as its load came.
+    :ivar fill: share of the decode engines' slots that may be in use before the service
+        counts as short of decode engines; the rest is for bursts.
+    :ivar least_share: smallest share of a service's engines that decode.
+    :ivar least_count: smallest number of decode engines; with only one, its crash stops
+        the service for as long as a role change takes.
+    :ivar least_from: number of engines of a service from which on ``least_count``
+        applies; with fewer, a second decode engine costs more prefill capacity than a
+        crash of the only one would.
+    :ivar horizon: time constant in seconds with which the accumulated cost of the
+        current roles decays; shorter fluctuations of the load cause no role change.
+    :ivar pause: seconds between two role changes in a service.
+    :ivar most_changing: largest share of a service's engines that may change their role
+        at the same time, but at least one engine. When only one engine at a time could
+        change, a large fleet had not finished changing when the load arrived.
     """
 
     fill: Ratio = 0.8
@@ -175,12 +185,14 @@
 
 class UsageSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    Reports of how many requests of each organisation began to run.
+    Settings of the usage reports: how many requests of each organisation began to run.
 
-    :ivar address: of the API that takes them.
-    :ivar window: seconds that are reported together, counted from 1970.
-    :ivar late: seconds after a window's end until which a report of it counts.
-    :ivar timeout: seconds until a report counts as unanswered.
+    :ivar address: of the API that receives the reports.
+    :ivar window: length in seconds of the windows that are reported, which are aligned
+        to the Unix epoch.
+    :ivar late: seconds after the end of a window until which a report of it is
+        accepted.
+    :ivar timeout: timeout of a report in seconds.
     """
 
     address: Address
@@ -194,21 +206,22 @@
     Settings of a gateway.
 
     :ivar instance: name of this instance.
-    :ivar data_centre: where it stands.
-    :ivar listen: address for callers.
-    :ivar readiness: address where the balancer asks whether to send callers here.
-    :ivar peers: address for datagrams of other gateways.
-    :ivar metrics: address of the metrics.
-    :ivar link_megabits: a second that this instance's link carries; 0 if it is not
-        known, which counts as a link without bound.
+    :ivar data_centre: data centre of this instance.
+    :ivar listen: address on which callers' requests are accepted.
+    :ivar readiness: address at which the load balancer asks whether this gateway is
+        ready.
+    :ivar peers: address on which datagrams of other gateways are received.
+    :ivar metrics: address at which the metrics are served.
+    :ivar link_megabits: bandwidth of this instance's network link, in megabits a
+        second; 0 if it is unknown, which is treated as unlimited.
     :ivar is_first_start: whether the whole deployment starts for the first time, so
-        that engines hold nothing yet.
-    :ivar order_lease_ms: milliseconds within which two processes may not both give
-        orders.
-    :ivar stop_within: seconds that a graceful stop may take.
-    :ivar revoke_within_ms: milliseconds after which no revoked API key may be used,
-        whether the store is reached or not; ``None`` for no such bound.
-    :ivar usage: reports of usage; ``None`` if nobody takes any.
+        that the engines' caches are still empty.
+    :ivar order_lease_ms: lease in milliseconds of the process that may give role change
+        orders, within which no second process may give any.
+    :ivar stop_within: time limit of a graceful stop in seconds.
+    :ivar revoke_within_ms: milliseconds after which a revoked API key is no longer
+        accepted, even if the store cannot be reached; ``None`` for no limit.
+    :ivar usage: settings of the usage reports; ``None`` to send none.
     """
 
     instance: str
--- a/pimentolink/platform/__init__.py
+++ b/pimentolink/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translates between the users' platform and the product."""
+"""Adapters for the users' platform: its API, headers, documents and store."""
--- a/pimentolink/platform/api.py
+++ b/pimentolink/platform/api.py
@@ -1,4 +1,4 @@
-"""The platform's API for what one gateway does at a time."""
+"""Client of the platform's API, which only the leading gateway calls."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 from pimentolink.timers import Timers
 from pimentolink.usagereporter import UsageReport
 
-LEADER = b"Pimentolink-Lease-Holder"
-FENCE = b"Pimentolink-Fencing-Token"
-MAX_ANSWER_BYTES = 65_536
+LEADER_HEADER = b"Pimentolink-Lease-Holder"
+FENCING_TOKEN_HEADER = b"Pimentolink-Fencing-Token"
+MAX_REPLY_BYTES = 65_536
 
 
-class _Usage(msgspec.Struct, rename="camel"):
+class _UsageDocument(msgspec.Struct, rename="camel"):
     """
-    A usage report.
+    Body of a usage report.
 
-    :ivar counts: requests that began to run, by organisation.
+    :ivar window_id: number of the window that is reported.
+    :ivar counts: number of requests that began to run, by organisation.
     """
 
     window_id: int
@@ -30,7 +31,7 @@
 
 
 class PlatformApi:
-    """Calls the API, each time on a connection of its own."""
+    """Calls the API, opening a new connection for each call."""
 
     def __init__(
         self,
@@ -40,11 +41,11 @@
         timers: Timers,
     ) -> None:
         """
-        Prepare; no call is made yet.
+        Create a client; no call is made yet.
 
-        :param reactor: the loop.
+        :param reactor: the Twisted reactor.
         :param address: of the API.
-        :param connections: keep-alive probes and time-outs.
+        :param connections: keep-alive probes and timeouts.
         :param timers: the timer service.
         """
         self._reactor = reactor
@@ -54,16 +55,21 @@
 
     async def report(self, report: UsageReport, leader: str, fence: int) -> None:
         """
-        Report a window's usage.
+        Report the usage of a window.
 
-        Nothing of a call can arrive once its connection is closed, so that a leader
-        that has given up a call cannot be heard after its successor.
+        No part of a call can arrive after its connection is closed, so a call that a
+        former leader has given up cannot take effect after one of its successor.
+
+        :param report: the window and its counts.
+        :param leader: name of the gateway that leads.
+        :param fence: fencing token of its leadership.
+        :raises ReportRefused: if the API answers with an error.
         """
-        body = msgspec.json.encode(_Usage(report.window, report.counts))
+        body = msgspec.json.encode(_UsageDocument(report.window, report.counts))
         headers = (
             (b"Host", self._address.encode()),
-            (LEADER, leader.encode()),
-            (FENCE, str(fence).encode()),
+            (LEADER_HEADER, leader.encode()),
+            (FENCING_TOKEN_HEADER, str(fence).encode()),
             (b"Content-Type", b"application/json"),
         )
         request = HttpRequest(b"POST", b"/usage", headers, body)
@@ -71,7 +77,7 @@
             self._reactor, self._address, self._connections, self._timers
         )
         try:
-            reply = await exchange(pool, request, lambda head: True, MAX_ANSWER_BYTES)
+            reply = await exchange(pool, request, lambda head: True, MAX_REPLY_BYTES)
         finally:
             pool.close()
         if reply.head.status != 200:
--- a/pimentolink/platform/documents.py
+++ b/pimentolink/platform/documents.py
@@ -1,4 +1,4 @@
-"""Reads the platform's documents: the configuration and the entries of targets."""
+"""Parses the documents in the platform's store: the configuration and the targets."""
 
 from __future__ import annotations
 
@@ -29,28 +29,29 @@
 
 _IDEMPOTENT = "idempotent"
 _STREAMING = "streaming"
-_LEAVING = "draining"
+_DRAINING = "draining"
 _ROLES = {"prefill": EngineRole.PREFILL, "decode": EngineRole.DECODE}
 
 
-_Share = Annotated[float, msgspec.Meta(ge=0)]
+_Weight = Annotated[float, msgspec.Meta(ge=0)]
 _Milliseconds = Annotated[int, msgspec.Meta(ge=0)]
-_HeaderWord = Annotated[str, msgspec.Meta(pattern=r"^[!-~]{1,200}\Z")]
-# A target's name goes into a header as one word.
+_HeaderToken = Annotated[str, msgspec.Meta(pattern=r"^[!-~]{1,200}\Z")]
+# A target's name is sent as the value of a header.
 _TARGET_ID = re.compile(r"[!-~]{1,200}")
 
 
 class _Backend(msgspec.Struct):
     service: str
-    weight: _Share
+    weight: _Weight
 
 
 class _Route(msgspec.Struct, rename="camel"):
     """
-    A route as the operator writes it.
+    A route of the operators' configuration.
 
-    :ivar sticky: marks the routes whose requests carry a prompt.
-    :ivar target_latency_ms: time within which an answer earns its full worth.
+    :ivar target_latency_ms: latency in milliseconds up to which a response has its full
+        value.
+    :ivar sticky: whether the route's requests carry a prompt.
     """
 
     name: str
@@ -92,19 +93,20 @@
     """
     An organisation.
 
-    :ivar priority: of its requests, before that of their route.
+    :ivar priority: of its requests; takes precedence over the priority of their route.
     """
 
-    name: _HeaderWord
+    name: _HeaderToken
     api_keys: list[str] = []
     priority: int | None = None
 
 
 class _Configuration(msgspec.Struct, rename="camel"):
     """
-    All that operators state.
+    The operators' configuration.
 
-    :ivar tenants: absent or empty if callers need no API keys.
+    :ivar tenants: organisations with their API keys; absent or empty if callers need no
+        API key.
     """
 
     version: int
@@ -114,15 +116,16 @@
     tenants: list[_Tenant] = []
 
 
-class _Server(msgspec.Struct, rename="camel"):
+class _TargetEntry(msgspec.Struct, rename="camel"):
     """
-    What an engine registers.
+    Entry that a target registers.
 
-    Whoever else writes here leaves fields out or fills them otherwise; such an entry
-    names no engine.
+    Other programs may write under the same prefix with missing or different fields;
+    such an entry is not a target.
 
-    :ivar phase: role of a model's engine; absent for other services.
-    :ivar born: when it started, in Unix milliseconds; a restart may keep its name.
+    :ivar phase: role of an engine that runs a model; absent for other services.
+    :ivar born: when the target started, in Unix milliseconds, since a restarted target
+        may keep its name.
     """
 
     service: Annotated[str, msgspec.Meta(min_length=1)]
@@ -134,36 +137,36 @@
     born: _Milliseconds = 0
 
 
-def _leads_nowhere(route: _Route) -> bool:
-    """Tell whether none of the services that share a route has a share."""
-    shares = [item.weight for item in route.weighted_backends]
-    return bool(shares) and not 0 < sum(shares) < math.inf
+def _has_no_backend(route: _Route) -> bool:
+    """Return whether the weights of a route's backends add up to zero or infinity."""
+    weights = [item.weight for item in route.weighted_backends]
+    return bool(weights) and not 0 < sum(weights) < math.inf
 
 
-def _route_of(found: _Route) -> Route:
+def _make_route(parsed: _Route) -> Route:
     services = tuple(
-        WeightedService(item.service, item.weight) for item in found.weighted_backends
+        WeightedService(item.service, item.weight) for item in parsed.weighted_backends
     )
-    is_stream = found.kind == _STREAMING
-    may_repeat = found.kind == _IDEMPOTENT or (is_stream and found.resumable)
+    is_stream = parsed.kind == _STREAMING
+    may_repeat = parsed.kind == _IDEMPOTENT or (is_stream and parsed.resumable)
     return Route(
-        name=found.name,
-        host=found.host.lower(),
-        prefix=found.prefix,
-        services=services or (WeightedService(found.service, 1.0),),
+        name=parsed.name,
+        host=parsed.host.lower(),
+        prefix=parsed.prefix,
+        services=services or (WeightedService(parsed.service, 1.0),),
         repeatability=Repeatability.IDEMPOTENT if may_repeat else Repeatability.ONCE,
         is_stream=is_stream,
-        is_resumable=found.resumable,
-        is_generation=found.sticky,
-        timeout=found.timeout_ms / 1000,
-        latency_target=found.target_latency_ms / 1000,
-        max_targets=max(1, found.max_attempts),
-        priority=found.priority,
-        needs_key=not found.skip_auth,
+        is_resumable=parsed.resumable,
+        is_generation=parsed.sticky,
+        timeout=parsed.timeout_ms / 1000,
+        latency_target=parsed.target_latency_ms / 1000,
+        max_targets=max(1, parsed.max_attempts),
+        priority=parsed.priority,
+        needs_key=not parsed.skip_auth,
     )
 
 
-def _api_keys_of(tenants: list[_Tenant]) -> ApiKeys | None:
+def _make_api_keys(tenants: list[_Tenant]) -> ApiKeys | None:
     if not tenants:
         return None
     return index_keys(
@@ -173,13 +176,13 @@
 
 
 def _copy_rate(engine: _Engine) -> float:
-    """Tell the tokens a second that go over the link between two engines."""
+    """Return the tokens a second whose KV cache fits the link between two engines."""
     bytes_a_second = engine.link_mbps * 1e6 / 8
     return max(1.0, bytes_a_second / max(1.0, engine.kv_bytes))
 
 
-def _service_of(found: _Service) -> Service:
-    engine = found.engine
+def _make_service(parsed: _Service) -> Service:
+    engine = parsed.engine
     model = None
     if engine is not None:
         model = EngineModel(
@@ -187,22 +190,22 @@
             switch_time=engine.role_switch_s,
             copy_rate=_copy_rate(engine),
         )
-    return Service(found.name, found.max_connections, model)
+    return Service(parsed.name, parsed.max_connections, model)
 
 
-def _bounds_of(found: _Limits | None) -> CallerBounds | None:
-    if found is None:
+def _make_caller_bounds(parsed: _Limits | None) -> CallerBounds | None:
+    if parsed is None:
         return None
     return CallerBounds(
-        head_bytes=found.max_header_bytes,
-        body_bytes=found.max_body_bytes,
-        head_time=found.header_timeout_ms / 1000,
-        idle_time=found.idle_timeout_ms / 1000,
+        head_bytes=parsed.max_header_bytes,
+        body_bytes=parsed.max_body_bytes,
+        head_time=parsed.header_timeout_ms / 1000,
+        idle_time=parsed.idle_timeout_ms / 1000,
     )
 
 
 class PlatformDocuments:
-    """Reads the documents that lie in the platform's store."""
+    """Parses the documents in the platform's store."""
 
     configuration_key = CONFIGURATION_KEY
     target_prefix = TARGET_PREFIX
@@ -211,46 +214,48 @@
         self, document: bytes
     ) -> Result[RoutingTable, DocumentInvalid]:
         """
-        Read the operators' configuration.
+        Parse the operators' configuration.
 
         :param document: value of ``CONFIGURATION_KEY``.
         """
-        read = read_json(document, _Configuration)
-        if isinstance(read, Err):
-            return read
-        found = read.ok_value
-        for route in found.routes:
-            if _leads_nowhere(route):
-                return Err(DocumentInvalid(f"route {route.name}: no service"))
-        routes = [_route_of(item) for item in found.routes]
-        services = [_service_of(item) for item in found.services]
-        bounds = _bounds_of(found.limits)
-        api_keys = _api_keys_of(found.tenants)
-        return Ok(RoutingTable(found.version, routes, services, bounds, api_keys))
+        decoded = read_json(document, _Configuration)
+        if isinstance(decoded, Err):
+            return decoded
+        parsed = decoded.ok_value
+        for route in parsed.routes:
+            if _has_no_backend(route):
+                return Err(
+                    DocumentInvalid(f"route {route.name}: no backend has a share")
+                )
+        routes = [_make_route(item) for item in parsed.routes]
+        services = [_make_service(item) for item in parsed.services]
+        bounds = _make_caller_bounds(parsed.limits)
+        api_keys = _make_api_keys(parsed.tenants)
+        return Ok(RoutingTable(parsed.version, routes, services, bounds, api_keys))
 
     def read_target(self, key: str, document: bytes) -> Result[Target, DocumentInvalid]:
         """
-        Read the entry of a target.
+        Parse the entry of a target.
 
-        :param key: begins with ``TARGET_PREFIX``; the rest is the target's name.
-        :param document: the entry.
+        :param key: ``TARGET_PREFIX`` and the target's name.
+        :param document: value of the key.
         """
         target_id = key.removeprefix(TARGET_PREFIX)
         if _TARGET_ID.fullmatch(target_id) is None:
-            return Err(DocumentInvalid(f"{key!r} does not fit into a header"))
-        read = read_json(document, _Server)
-        if isinstance(read, Err):
-            return Err(DocumentInvalid(f"{key}: {read.err_value.detail}"))
-        found = read.ok_value
+            return Err(DocumentInvalid(f"{key!r}: the name cannot be a header value"))
+        decoded = read_json(document, _TargetEntry)
+        if isinstance(decoded, Err):
+            return Err(DocumentInvalid(f"{key}: {decoded.err_value.detail}"))
+        parsed = decoded.ok_value
         return Ok(
             Target(
                 target_id=target_id,
-                service=found.service,
-                address=found.address,
-                data_centre=found.zone,
-                slots=found.slots,
-                is_leaving=found.state == _LEAVING,
-                role=_ROLES.get(found.phase or "", EngineRole.NONE),
-                born=found.born,
+                service=parsed.service,
+                address=parsed.address,
+                data_centre=parsed.zone,
+                slots=parsed.slots,
+                is_leaving=parsed.state == _DRAINING,
+                role=_ROLES.get(parsed.phase or "", EngineRole.NONE),
+                born=parsed.born,
             )
         )
--- a/pimentolink/platform/edge.py
+++ b/pimentolink/platform/edge.py
@@ -28,10 +28,11 @@
     reactor: Any, settings: GatewaySettings
 ) -> tuple[PlatformStore, PlatformDocuments]:
     """
-    Make what reads the platform's store; no call is made yet.
+    Create the client of the platform's store and the parser of its documents.
 
-    :param reactor: the loop.
-    :param settings: of a gateway, which name the store.
+    :param reactor: the Twisted reactor.
+    :param settings: of a gateway, with the address of the store.
+    :returns: both; no call is made yet.
     """
     direct = DirectEndpointReactor(reactor)
     timers = ReactorTimers(reactor)
@@ -41,11 +42,11 @@
 
 def make_gateway(reactor: Any, settings: GatewaySettings, path: str) -> Gateway:
     """
-    Make a gateway that speaks the platform's protocols.
+    Create a gateway that uses the platform's store, API and headers.
 
-    :param reactor: the loop.
+    :param reactor: the Twisted reactor.
     :param settings: of the gateway.
-    :param path: of the file that holds them.
+    :param path: of the settings file, which the gateway reads again for changes.
     """
     store, documents = make_store(reactor, settings)
     usage_api = None
@@ -70,7 +71,7 @@
 
 def run(path: str) -> int:
     """
-    Run a gateway until told to stop.
+    Run a gateway until it receives a stop signal.
 
     :param path: of the settings file.
     :returns: the exit code.
@@ -92,7 +93,7 @@
 
 def main() -> int:
     """
-    Run with the settings file that the first argument or the platform names.
+    Run with the settings file named by the first argument or by the environment.
 
     :returns: the exit code.
     """
--- a/pimentolink/platform/store.py
+++ b/pimentolink/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store, as a :class:`~pimentolink.keyspace.Keyspace`."""
+"""Client of the platform's store, a :class:`~pimentolink.keyspace.Keyspace`."""
 
 from __future__ import annotations
 
@@ -32,64 +32,66 @@
 from pimentolink.targethttp import ConnectionPool, exchange
 from pimentolink.timers import Timers, with_timeout
 
-# Counts how often the store was restored from a copy.
+# Header of each reply: how often the store has been restored from a backup.
 EPOCH = b"store-era"
-# Largest answer taken; the store sends pages of about 1 MB, a third more as base64.
-MAX_ANSWER_BYTES = 4_000_000
-# Beyond it a revision with its epoch would not be exact as a number of JSON.
+# Largest reply accepted, in bytes. The store sends pages of about 1 MB, which base64
+# makes a third larger.
+MAX_REPLY_BYTES = 4_000_000
+# A revision combined with a larger epoch could not be represented exactly as a JSON
+# number.
 MAX_EPOCH = 2**13
 
 Decoded = TypeVar("Decoded")
 
 
 class _StoredItem(msgspec.Struct, rename="camel"):
-    """A key in an answer; without ``value`` if it was removed."""
+    """A key in a reply; ``value`` is absent if the key was removed."""
 
     key: str
     revision: int
     value: str | None = None
 
     def data(self) -> bytes:
-        return _bytes_of(self.value or "")
+        return _decode_value(self.value or "")
 
 
-class _Page(msgspec.Struct, rename="camel"):
-    """One page of a range; ``current_rev`` is the store's revision."""
+class _RangeReply(msgspec.Struct, rename="camel"):
+    """Reply to a range read: one page; ``current_rev`` is the store's revision."""
 
     items: list[_StoredItem]
     more_pages: bool
     current_rev: int
 
 
-class _Single(msgspec.Struct, rename="camel"):
-    """One key."""
+class _KeyReply(msgspec.Struct, rename="camel"):
+    """Reply to the read of one key."""
 
     key: str
     revision: int
     value: str
 
 
-class _Events(msgspec.Struct, rename="camel"):
-    """What a watch answers."""
+class _WatchReply(msgspec.Struct, rename="camel"):
+    """Reply to a watch."""
 
     events: list[_StoredItem]
     current_rev: int
 
 
-class _Granted(msgspec.Struct, rename="camel"):
-    """A lease that was granted."""
+class _LeaseReply(msgspec.Struct, rename="camel"):
+    """Reply to the request for a lease."""
 
     lease: int
 
 
-class _Committed(msgspec.Struct, rename="camel"):
-    """A transaction that was made."""
+class _TransactionReply(msgspec.Struct, rename="camel"):
+    """Reply to a transaction that was committed."""
 
     revision: int
 
 
 class PlatformStore:
-    """The store over HTTP."""
+    """Accesses the store over HTTP."""
 
     def __init__(
         self,
@@ -99,11 +101,11 @@
         timers: Timers,
     ) -> None:
         """
-        Prepare calls; none is made yet.
+        Create a client; no call is made yet.
 
-        :param reactor: the loop.
-        :param settings: address and patience.
-        :param connections: keep-alive probes and time-outs.
+        :param reactor: the Twisted reactor.
+        :param settings: address and timeout.
+        :param connections: keep-alive probes and timeouts.
         :param timers: the timer service.
         """
         self._settings = settings
@@ -115,7 +117,7 @@
         self.on_restored: Callable[[], None] = lambda: None
 
     def read_all(self, prefix: str) -> Deferred[Snapshot]:
-        """Read all keys under a prefix, page by page."""
+        """Read all keys with a prefix, page by page."""
         return Deferred.fromCoroutine(self._read_all(prefix))
 
     def changes(self, prefix: str, after: int, wait: float) -> Deferred[Changes]:
@@ -127,11 +129,11 @@
         return Deferred.fromCoroutine(self._read(key))
 
     def write(self, write: Write) -> Deferred[int | None]:
-        """Write a key under a condition."""
+        """Write a key if the revisions are as expected."""
         return Deferred.fromCoroutine(self._write(write))
 
     def grant(self, seconds: float) -> Deferred[int]:
-        """Ask for a lease."""
+        """Request a lease."""
         return Deferred.fromCoroutine(self._grant(seconds))
 
     def renew(self, lease: int) -> Deferred[None]:
@@ -139,7 +141,7 @@
         return Deferred.fromCoroutine(self._renew(lease))
 
     def end(self, lease: int) -> Deferred[None]:
-        """End a lease."""
+        """Revoke a lease."""
         return Deferred.fromCoroutine(self._end(lease))
 
     async def _read_all(self, prefix: str) -> Snapshot:
@@ -149,11 +151,12 @@
         epoch: int | None = None
         while True:
             query = {"prefix": prefix} | ({"after": after} if after else {})
-            page = await self._get(f"/kv-range?{urlencode(query)}", _Page)
+            page = await self._get(f"/kv-range?{urlencode(query)}", _RangeReply)
             epoch = self.epoch if epoch is None else epoch
             if epoch != self.epoch:
-                raise KeyValueUnavailable("restored between two pages")
-            # Pages are no snapshot: what changed after the first one is asked for.
+                raise KeyValueUnavailable("the store was restored between two pages")
+            # The pages are not a consistent snapshot, so the caller must watch for
+            # changes from the revision of the first page on.
             revision = page.current_rev if revision is None else revision
             items += [
                 Item(item.key, item.data(), with_epoch(epoch, item.revision))
@@ -164,35 +167,35 @@
             after = page.items[-1].key
 
     async def _changes(self, prefix: str, after: int, wait: float) -> Changes:
-        epoch = self._still(after)
+        epoch = self._require_epoch(after)
         query = {
             "prefix": prefix,
             "after": without_epoch(after),
             "waitMs": int(wait * 1000),
         }
-        patience = wait + self._settings.timeout
-        reply = await self._call("GET", f"/kv-watch?{urlencode(query)}", patience)
+        call_timeout = wait + self._settings.timeout
+        reply = await self._call("GET", f"/kv-watch?{urlencode(query)}", call_timeout)
         if reply.head.status == 410:
             raise HistoryLost(f"changes after {after} are no longer kept")
-        self._still(after)
-        found = _decode(_checked(reply), _Events)
+        self._require_epoch(after)
+        parsed = _decode_reply(_require_success(reply), _WatchReply)
         changes = tuple(
             Change(
                 item.key,
                 None if item.value is None else item.data(),
                 with_epoch(epoch, item.revision),
             )
-            for item in found.events
+            for item in parsed.events
         )
-        return Changes(changes, with_epoch(epoch, found.current_rev))
+        return Changes(changes, with_epoch(epoch, parsed.current_rev))
 
-    def _still(self, revision: int) -> int:
+    def _require_epoch(self, revision: int) -> int:
         """
-        Check that a revision is of the store's epoch.
+        Check that a revision belongs to the store's current epoch.
 
-        :returns: that epoch.
-        :raises HistoryLost: if the store was restored since; it may have given the
-            revision out again.
+        :returns: the epoch.
+        :raises HistoryLost: if the store was restored since, as it may have assigned
+            the same revision again.
         """
         if epoch_of(revision) != self.epoch:
             raise HistoryLost(f"the store was restored after revision {revision}")
@@ -203,47 +206,48 @@
         reply = await self._call("GET", path, self._settings.timeout)
         if reply.head.status == 404:
             return None
-        found = _decode(_checked(reply), _Single)
-        revision = with_epoch(self.epoch, found.revision)
-        return Item(found.key, _bytes_of(found.value), revision)
+        parsed = _decode_reply(_require_success(reply), _KeyReply)
+        revision = with_epoch(self.epoch, parsed.revision)
+        return Item(parsed.key, _decode_value(parsed.value), revision)
 
     async def _write(self, write: Write) -> int | None:
         epoch, is_first = self.epoch, not self._is_epoch_known
-        expected = [(write.key, write.expected)]
+        conditions = [(write.key, write.expected)]
         if write.guard is not None:
-            expected.append(write.guard)
-        if any(revision and epoch_of(revision) != epoch for _, revision in expected):
-            # Whatever is at that revision now was written after the restore.
+            conditions.append(write.guard)
+        if any(revision and epoch_of(revision) != epoch for _, revision in conditions):
+            # The store was restored since. A key that now has the expected revision
+            # number was written after the restore, so the condition is not met.
             return None
         put: dict[str, object] = {
             "key": write.key,
             "value": base64.b64encode(write.value).decode(),
         }
         if write.lease:
-            put["lease"] = self._lease(write.lease)
+            put["lease"] = self._store_lease(write.lease)
         document = {
             "expected": [
                 {"key": key, "revision": without_epoch(revision)}
-                for key, revision in expected
+                for key, revision in conditions
             ],
             "puts": [put],
             "remove": [],
         }
         reply = await self._post("/kv-txn", document)
         if self.epoch != epoch and not is_first:
-            raise KeyValueUnavailable("the store was restored meanwhile")
+            raise KeyValueUnavailable("the store was restored during the transaction")
         if reply.head.status == 412:
             return None
         if reply.head.status == 404:
             raise LeaseLost(f"lease {write.lease} has ended")
-        revision = _decode(_checked(reply), _Committed).revision
+        revision = _decode_reply(_require_success(reply), _TransactionReply).revision
         return with_epoch(self.epoch, revision)
 
-    def _lease(self, lease: int) -> int:
+    def _store_lease(self, lease: int) -> int:
         """
-        Tell a lease as the store counts it.
+        Return the store's own id of a lease.
 
-        :raises LeaseLost: if the store was restored since it was granted.
+        :raises LeaseLost: if the store was restored after it granted the lease.
         """
         if epoch_of_lease(lease) != self.epoch:
             raise LeaseLost("the lease ended as the store was restored")
@@ -251,44 +255,47 @@
 
     async def _grant(self, seconds: float) -> int:
         reply = await self._post("/kv-lease", {"ttlMs": int(seconds * 1000)})
-        return lease_with_epoch(self.epoch, _decode(_checked(reply), _Granted).lease)
+        return lease_with_epoch(
+            self.epoch, _decode_reply(_require_success(reply), _LeaseReply).lease
+        )
 
     async def _renew(self, lease: int) -> None:
-        reply = await self._post(f"/kv-keep/{self._lease(lease)}", None)
-        # Another store's lease may have been renewed.
-        self._lease(lease)
+        reply = await self._post(f"/kv-keep/{self._store_lease(lease)}", None)
+        # If the store was restored meanwhile, another lease with the same id may have
+        # been renewed.
+        self._store_lease(lease)
         if reply.head.status == 404:
             raise LeaseLost(f"lease {lease} has ended")
-        _checked(reply)
+        _require_success(reply)
 
     async def _end(self, lease: int) -> None:
         try:
-            path = f"/kv-lease-end/{self._lease(lease)}"
+            path = f"/kv-lease-end/{self._store_lease(lease)}"
         except LeaseLost:
             return
         await self._call("DELETE", path, self._settings.timeout)
 
-    async def _get(self, path: str, kind: type[Decoded]) -> Decoded:
+    async def _get(self, path: str, reply_type: type[Decoded]) -> Decoded:
         reply = await self._call("GET", path, self._settings.timeout)
-        return _decode(_checked(reply), kind)
+        return _decode_reply(_require_success(reply), reply_type)
 
     def _post(self, path: str, document: object) -> Coroutine[Any, Any, HttpReply]:
         body = b"" if document is None else msgspec.json.encode(document)
         return self._call("POST", path, self._settings.timeout, body)
 
     async def _call(
-        self, method: str, path: str, patience: float, body: bytes = b""
+        self, method: str, path: str, timeout: float, body: bytes = b""
     ) -> HttpReply:
         self.calls += 1
         headers: Headers = ((b"Host", self._settings.address.encode()),)
         if body:
             headers += ((b"Content-Type", b"application/json"),)
         request = HttpRequest(method.encode(), path.encode(), headers, body)
-        pending = exchange(self._pool, request, lambda head: True, MAX_ANSWER_BYTES)
+        pending = exchange(self._pool, request, lambda head: True, MAX_REPLY_BYTES)
         try:
-            reply = await with_timeout(self._timers, patience, pending)
+            reply = await with_timeout(self._timers, timeout, pending)
         except TimeoutError as error:
-            raise KeyValueUnavailable(f"no answer within {patience:g} s") from error
+            raise KeyValueUnavailable(f"no reply within {timeout:g} s") from error
         except CancelledError:
             raise
         except Failure as failure:
@@ -298,40 +305,45 @@
 
     def _learn_epoch(self, reply: HttpReply) -> None:
         """
-        Learn from an answer whether the store was restored.
+        Detect from a reply's epoch whether the store was restored.
 
-        :raises KeyValueUnavailable: if the answer is from before the restore.
+        :raises KeyValueUnavailable: if the reply predates the latest known restore.
         """
         value = reply.head.header(EPOCH)
         if value is None or not value.isdigit() or int(value) >= MAX_EPOCH:
             return
-        epoch, before = int(value), self.epoch
-        if epoch < before:
-            raise KeyValueUnavailable("an answer from before the store was restored")
-        is_restored = self._is_epoch_known and epoch > before
+        epoch, previous = int(value), self.epoch
+        if epoch < previous:
+            raise KeyValueUnavailable("the reply predates a restore of the store")
+        is_restored = self._is_epoch_known and epoch > previous
         self.epoch, self._is_epoch_known = epoch, True
         if is_restored:
-            # Not within the call that got this answer, which listeners may cancel.
+            # Deferred, since the callback may cancel the call that got this reply.
             self._timers.call_later(0, lambda: self.on_restored())
 
 
-def _checked(reply: HttpReply) -> HttpReply:
+def _require_success(reply: HttpReply) -> HttpReply:
     if reply.head.status != 200:
         raise KeyValueUnavailable(f"status {reply.head.status}")
     return reply
 
 
-def _decode(reply: HttpReply, kind: type[Decoded]) -> Decoded:
-    found = read_json(reply.body, kind)
-    if isinstance(found, Err):
-        detail = found.err_value.detail
-        raise KeyValueUnavailable(f"an answer that cannot be read: {detail}")
-    return found.ok_value
+def _decode_reply(reply: HttpReply, reply_type: type[Decoded]) -> Decoded:
+    parsed = read_json(reply.body, reply_type)
+    if isinstance(parsed, Err):
+        detail = parsed.err_value.detail
+        raise KeyValueUnavailable(f"invalid reply: {detail}")
+    return parsed.ok_value
+
 
+def _decode_value(text: str) -> bytes:
+    """
+    Decode a value from base64.
 
-def _bytes_of(text: str) -> bytes:
-    """Read a value; what follows the store would end with any other error."""
+    :raises KeyValueUnavailable: if it is not valid base64; any other error would end
+        the tasks that follow the store.
+    """
     try:
         return base64.b64decode(text, validate=True)
     except binascii.Error as error:
-        raise KeyValueUnavailable(f"a value that cannot be read: {error}") from error
+        raise KeyValueUnavailable(f"invalid value: {error}") from error
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway as a process, before stand-ins of the users' platform."""
+"""Tests a gateway process against stand-ins of the users' platform."""
 
 import json
 import signal
@@ -14,20 +14,21 @@
 
 @pytest.fixture
 def world(fleet):
-    found = PlatformWorld(fleet)
-    # Keeps earned retry credit, which lasts a quarter of the window, from expiring.
-    found.start_usual(budget={"window": 60.0})
-    return found
+    platform_world = PlatformWorld(fleet)
+    # A long window keeps earned retry credit, which lasts for a quarter of it, from
+    # expiring during a test.
+    platform_world.start_usual(budget={"window": 60.0})
+    return platform_world
 
 
-def events_of(body: bytes) -> list[str]:
+def parse_event_lines(body: bytes) -> list[str]:
     return [
         line for line in body.decode().splitlines() if line.startswith(("id:", "data:"))
     ]
 
 
-def earn_retry_budget(world):
-    """Send requests, since a gateway that has just started has no retry budget."""
+def earn_retry_credit(world):
+    """Send requests that earn retry credit, of which a new gateway has none."""
     for _ in range(30):
         assert world.request("/read/x")[0].status == 200
         assert world.generate("/resume/x")[0].status == 200
@@ -35,23 +36,23 @@
 
 class TestWholePath:
     def test_plain_call_is_passed_on_unchanged(self, world):
-        found, name = world.request("/read/a?b=c%20d", body=b"body")
-        assert found.status == 200
-        assert found.json == {"name": name, "body": "body", "path": "/read/a?b=c%20d"}
-        assert found.headers["pimentolink-response-signature"] == f"signed-{name}"
+        reply, name = world.request("/read/a?b=c%20d", body=b"body")
+        assert reply.status == 200
+        assert reply.json == {"name": name, "body": "body", "path": "/read/a?b=c%20d"}
+        assert reply.headers["pimentolink-response-signature"] == f"signed-{name}"
 
     def test_stream_is_read_at_one_engine_and_written_at_another(self, world):
-        found, name = world.generate("/stream/x")
-        assert found.status == 200
-        assert len(events_of(found.body)) == 8
+        reply, name = world.generate("/stream/x")
+        assert reply.status == 200
+        assert len(parse_event_lines(reply.body)) == 8
         assert world.runs("writer")["runs"] == {name: 1}
 
     def test_targets_are_told_the_time_left_and_who_is_meant(self, world):
         _, name = world.request("/read/x")
         (headers,) = [
-            told["headers"][name]
-            for told in (world.runs("plain-1"), world.runs("plain-2"))
-            if name in told["headers"]
+            state["headers"][name]
+            for state in (world.runs("plain-1"), world.runs("plain-2"))
+            if name in state["headers"]
         ]
         assert headers["Pimentolink-Expect-Instance"].startswith("plain-")
         assert 0 < int(headers["Pimentolink-Deadline-Ms"]) <= 3000
@@ -75,8 +76,8 @@
         } & set(headers)
 
     def test_unknown_route_is_404(self, world):
-        found, _ = world.request("/none/x")
-        assert found.status == 404
+        reply, _ = world.request("/none/x")
+        assert reply.status == 404
 
     def test_each_decision_on_a_request_is_logged_with_its_id(self, world):
         _, name = world.generate("/stream/x")
@@ -97,60 +98,62 @@
 
 class TestFailures:
     def test_idempotent_call_is_repeated_elsewhere(self, world):
-        earn_retry_budget(world)
+        earn_retry_credit(world)
         world.fault("plain-1", status=500)
         world.fault("plain-2", status=500)
-        found, name = world.request("/read/x")
-        assert found.status == 500
+        reply, name = world.request("/read/x")
+        assert reply.status == 500
         counts = [world.runs(n)["runs"].get(name, 0) for n in ("plain-1", "plain-2")]
         assert counts == [1, 1]
 
     def test_call_that_runs_once_is_not_repeated(self, world):
         world.fault("plain-1", status=500)
         world.fault("plain-2", status=500)
-        found, name = world.request("/once/x")
-        assert found.status == 500
+        reply, name = world.request("/once/x")
+        assert reply.status == 500
         counts = [world.runs(n)["runs"].get(name, 0) for n in ("plain-1", "plain-2")]
         assert sorted(counts) == [0, 1]
 
     def test_call_that_runs_once_goes_on_where_it_was_rejected_unrun(self, world):
-        earn_retry_budget(world)
+        earn_retry_credit(world)
         world.fault("plain-1", reject=True)
         for _ in range(4):
-            found, _ = world.request("/once/x")
-            assert found.status == 200
+            reply, _ = world.request("/once/x")
+            assert reply.status == 200
 
     def test_call_that_all_reject_is_said_not_to_have_run(self, world):
         world.fault("plain-1", reject=True)
         world.fault("plain-2", reject=True)
-        found, name = world.request("/once/x")
-        assert found.status == 503
-        assert float(found.headers["retry-after"]) > 0
+        reply, name = world.request("/once/x")
+        assert reply.status == 503
+        assert float(reply.headers["retry-after"]) > 0
         assert name not in world.runs("plain-1")["runs"]
         assert name not in world.runs("plain-2")["runs"]
 
     def test_answer_to_another_request_is_not_given(self, world):
         world.fault("plain-1", wrong_id=True)
         world.fault("plain-2", wrong_id=True)
-        found, _ = world.request("/short/x")
-        assert found.status in (502, 504)
+        reply, _ = world.request("/short/x")
+        assert reply.status in (502, 504)
 
     def test_silent_target_is_answered_for_at_the_routes_timeout(self, world):
         world.fault("plain-1", silent=True)
         world.fault("plain-2", silent=True)
-        began = time.monotonic()
-        found, _ = world.request("/short/x")
-        assert found.status == 504
-        assert 0.25 < time.monotonic() - began < 0.8
+        started_at = time.monotonic()
+        reply, _ = world.request("/short/x")
+        assert reply.status == 504
+        assert 0.25 < time.monotonic() - started_at < 0.8
 
     def test_broken_stream_goes_on_at_another_engine_after_its_last_event(self, world):
-        earn_retry_budget(world)
+        earn_retry_credit(world)
         world.target("writer-2", "llm", "decode")
         world.fault("writer", break_after=2)
         for _ in range(3):
-            found, _ = world.generate("/resume/x")
-            assert found.status == 200
-            ids = [line for line in events_of(found.body) if line.startswith("id")]
+            reply, _ = world.generate("/resume/x")
+            assert reply.status == 200
+            ids = [
+                line for line in parse_event_lines(reply.body) if line.startswith("id")
+            ]
             assert ids == ["id: 1", "id: 2", "id: 3", "id: 4"]
 
     def test_failed_attempts_tell_what_was_asked(self, world):
@@ -164,7 +167,7 @@
         assert all(line["after"] > 0 and line["others"] == 0 for line in failed)
 
     def test_retry_decision_is_logged_and_counted(self, world):
-        earn_retry_budget(world)
+        earn_retry_credit(world)
         world.fault("plain-1", status=500)
         world.fault("plain-2", status=500)
         _, name = world.request("/read/x")
@@ -181,11 +184,11 @@
         assert b'pimentolink_retries_total{kind="granted"} 1.0' in call(url).body
 
     def failed_attempt(self, world, name):
-        def found():
+        def failures():
             lines = world.logged("gateway", name)
             return [line for line in lines if line["event"] == "attempt_failed"]
 
-        return wait_until(found)[0]
+        return wait_until(failures)[0]
 
     def test_broken_stream_that_may_not_resume_does_not_look_complete(self, world):
         world.fault("writer", break_after=2)
@@ -198,9 +201,9 @@
             "Pimentolink-Token-Counts": "10,5",
         }
         connection.request("POST", "/stream/x", b"x", headers)
-        answer = connection.getresponse()
+        response = connection.getresponse()
         with pytest.raises((ConnectionError, OSError, Exception)) as broken:
-            answer.read()
+            response.read()
         assert "IncompleteRead" in repr(broken.value) or isinstance(
             broken.value, OSError
         )
@@ -240,38 +243,35 @@
 
 class TestEndedTargets:
     """
-    All engines that write have ended, and their entries are still listed.
-
-    Single requests were sent to engines that refused connections up to 16 times within
-    60 ms, each time with the prompt read anew, until the budget of repeats was spent;
-    136 requests within 9 s were then refused for that budget, others' too:
-
-        attempt_failed code=not_connected detail="Connection was refused by other side"
-        request_failed code=retry_budget_spent detail="no repeated attempt is left"
-
-    An engine that refuses a connection was ejected for a while, but given work again as
-    soon as no other was left.
+    All decode engines have crashed while their entries are still listed.
+
+    An engine that refuses connections is ejected for a time, but used to be selected
+    again as soon as no other engine was left. One request was then sent to such engines
+    up to 16 times within 60 ms (``attempt_failed`` with code ``not_connected``), each
+    time with a new prefill, until the retry budget was used up. For lack of it, 136
+    requests within 9 s failed with code ``retry_budget_spent``, also those of other
+    callers.
     """
 
     @pytest.fixture
-    def outcomes(self, world):
+    def replies_and_logs(self, world):
         world.fleet.processes_by_name["writer"].kill()
-        found = [world.generate("/resume/x") for _ in range(30)]
-        names = [name for _, name in found]
+        responses = [world.generate("/resume/x") for _ in range(30)]
+        names = [name for _, name in responses]
         wait_until(lambda: all(world.logged("gateway", name) for name in names))
-        return [(reply, world.logged("gateway", name)) for reply, name in found]
+        return [(reply, world.logged("gateway", name)) for reply, name in responses]
 
-    def test_request_meets_each_of_them_once(self, outcomes):
-        for _, lines in outcomes:
+    def test_request_meets_each_of_them_once(self, replies_and_logs):
+        for _, lines in replies_and_logs:
             failed = [line for line in lines if line["event"] == "attempt_failed"]
             assert len(failed) <= 1
 
-    def test_requests_are_refused_for_want_of_an_engine(self, outcomes):
-        for reply, lines in outcomes:
+    def test_requests_are_refused_for_want_of_an_engine(self, replies_and_logs):
+        for reply, lines in replies_and_logs:
             assert reply.status == 503
             assert lines[-1]["code"] == "no_target"
 
-    def test_engine_that_is_back_gets_work_at_once(self, world, outcomes):
+    def test_engine_that_is_back_gets_work_at_once(self, world, replies_and_logs):
         world.fleet.start_again("writer")
         world.fleet.settle()
         wait_until(lambda: world.generate("/resume/x")[0].status == 200, within=1.0)
@@ -295,22 +295,26 @@
         assert world.logged("second", name)[0]["tokens"] == 200
 
     def test_prompt_read_by_an_engines_earlier_life_is_read_again(self, fleet):
-        found = PlatformWorld(fleet)
-        found.target("reader", "llm", "prefill", gap=0.4)
-        found.target("writer", "llm", "decode")
-        found.configure(1)
-        found.gateway("gateway", budget={"ratio": 1.0})
-        # Earns retry credit, which a gateway that has just started lacks.
+        platform_world = PlatformWorld(fleet)
+        platform_world.target("reader", "llm", "prefill", gap=0.4)
+        platform_world.target("writer", "llm", "decode")
+        platform_world.configure(1)
+        platform_world.gateway("gateway", budget={"ratio": 1.0})
+        # Earns retry credit, of which a new gateway has none.
         other_prompt = {"Pimentolink-Prompt-Prefix": "cc:1000,dd:200"}
-        _, earlier_request = found.generate("/resume/x", **other_prompt)
+        _, earlier_request = platform_world.generate("/resume/x", **other_prompt)
         with ThreadPoolExecutor() as pool:
-            asking = pool.submit(found.generate, "/resume/x")
-            wait_until(lambda: found.runs("reader")["reads"].keys() - {earlier_request})
-            later = found.born("reader") + 1
-            found.list_target("reader", "llm", "prefill", born=later)
-            reply, name = asking.result()
+            pending_request = pool.submit(platform_world.generate, "/resume/x")
+            wait_until(
+                lambda: (
+                    platform_world.runs("reader")["reads"].keys() - {earlier_request}
+                )
+            )
+            later = platform_world.born("reader") + 1
+            platform_world.list_target("reader", "llm", "prefill", born=later)
+            reply, name = pending_request.result()
         assert reply.status == 200
-        assert found.runs("reader")["reads"][name] == 2
+        assert platform_world.runs("reader")["reads"][name] == 2
 
 
 class TestLeaving:
@@ -341,9 +345,9 @@
         fleet.start_gateway("gateway")
         fleet.settle()
         assert not world.is_ready("gateway")
-        found, _ = world.request("/read/x")
-        assert found.status == 503
-        assert "retry-after" in found.headers
+        reply, _ = world.request("/read/x")
+        assert reply.status == 503
+        assert "retry-after" in reply.headers
 
     def test_newer_version_is_in_force_within_a_second(self, world):
         world.configure(2, added="plain")
@@ -398,18 +402,18 @@
         world.remove("servers/plain-1")
         world.remove("servers/plain-2")
         time.sleep(0.3)
-        answers = []
-        asking = threading.Thread(
-            target=lambda: answers.append(world.request("/read/x")[0])
+        replies = []
+        pending_request = threading.Thread(
+            target=lambda: replies.append(world.request("/read/x")[0])
         )
-        asking.start()
+        pending_request.start()
         time.sleep(0.3)
         gateway = world.fleet.processes_by_name["gateway"]
         gateway.send(signal.SIGTERM)
         time.sleep(0.2)
         assert not world.is_ready("gateway")
-        asking.join(10)
-        assert answers[0].status == 200
+        pending_request.join(10)
+        assert replies[0].status == 200
         assert gateway.popen.wait(10) == 0
 
     def test_request_that_comes_too_late_to_be_finished_is_refused_unrun(self, world):
@@ -421,17 +425,17 @@
         gateway = world.fleet.processes_by_name["second"]
         gateway.send(signal.SIGTERM)
         time.sleep(1.5)
-        asking = threading.Thread(
+        pending_request = threading.Thread(
             target=lambda: world.request("/read/x", gateway="second")
         )
-        asking.start()
+        pending_request.start()
         time.sleep(1.7)
-        found, name = world.request("/read/x", gateway="second")
-        assert found.status == 503
-        assert float(found.headers["retry-after"]) > 0
-        assert found.headers["connection"] == "close"
+        reply, name = world.request("/read/x", gateway="second")
+        assert reply.status == 503
+        assert float(reply.headers["retry-after"]) > 0
+        assert reply.headers["connection"] == "close"
         assert name not in world.runs("slow-1")["runs"]
-        asking.join(10)
+        pending_request.join(10)
 
     def test_open_connections_are_answered_and_then_told_to_close(self, world):
         connection = world.connection()
@@ -441,12 +445,12 @@
         world.fleet.processes_by_name["gateway"].send(signal.SIGTERM)
         time.sleep(0.5)
         connection.request("POST", "/read/x", b"x", headers)
-        answer = connection.getresponse()
-        assert answer.status == 200
-        assert answer.headers["connection"] == "close"
+        response = connection.getresponse()
+        assert response.status == 200
+        assert response.headers["connection"] == "close"
 
 
-GOOD_HEAD = (
+VALID_HEAD = (
     b"POST /read/x HTTP/1.1\r\nHost: h.example\r\nPimentolink-Request-Id: %s\r\n"
 )
 
@@ -456,80 +460,80 @@
         ("data", "status"),
         [
             (
-                GOOD_HEAD % b"a1"
+                VALID_HEAD % b"a1"
                 + b"Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc",
                 400,
             ),
             (
-                GOOD_HEAD % b"a2"
+                VALID_HEAD % b"a2"
                 + b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                 400,
             ),
-            (GOOD_HEAD % b"a3" + b"X: a\r\n folded\r\n\r\n", 400),
+            (VALID_HEAD % b"a3" + b"X: a\r\n folded\r\n\r\n", 400),
             (b"POST /read/x HTTP/1.1\nHost: h.example\n\n", 400),
-            (GOOD_HEAD % b"a4" + b"X: \xff\r\n\r\n", 400),
-            (GOOD_HEAD % b"a5" + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n\r\n", 400),
-            (GOOD_HEAD % b"a6" + b"X: " + b"a" * 20_000 + b"\r\n\r\n", 431),
-            (GOOD_HEAD % b"a7" + b"Content-Length: 99999999\r\n\r\n" + b"a" * 10, 413),
+            (VALID_HEAD % b"a4" + b"X: \xff\r\n\r\n", 400),
+            (VALID_HEAD % b"a5" + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n\r\n", 400),
+            (VALID_HEAD % b"a6" + b"X: " + b"a" * 20_000 + b"\r\n\r\n", 431),
+            (VALID_HEAD % b"a7" + b"Content-Length: 99999999\r\n\r\n" + b"a" * 10, 413),
         ],
     )
     def test_is_refused_and_nothing_is_passed_on(self, world, data, status):
-        answer = world.raw(data)
-        assert answer.startswith(b"HTTP/1.1 %d " % status)
-        assert answer.count(b"HTTP/1.1 ") == 1
+        response = world.raw(data)
+        assert response.startswith(b"HTTP/1.1 %d " % status)
+        assert response.count(b"HTTP/1.1 ") == 1
         assert world.runs("plain-1")["runs"] == {}
         assert world.runs("plain-2")["runs"] == {}
 
     def test_pipelined_requests_are_answered_in_order(self, world):
         data = b"".join(
-            GOOD_HEAD % name + b"Content-Length: 1\r\n\r\nx" for name in (b"p1", b"p2")
+            VALID_HEAD % name + b"Content-Length: 1\r\n\r\nx" for name in (b"p1", b"p2")
         )
-        answer = world.raw(data, within=1.5)
-        assert answer.index(b"signed-p1") < answer.index(b"signed-p2")
+        response = world.raw(data, within=1.5)
+        assert response.index(b"signed-p1") < response.index(b"signed-p2")
 
 
 class TestApiKeys:
     @pytest.fixture
-    def keyed(self, fleet):
-        found = PlatformWorld(fleet)
-        found.target("reader", "llm", "prefill")
-        found.target("writer", "llm", "decode")
-        found.target("plain-1", "plain")
-        found.configure(1, {"north": ["k-north"], "south": ["k-south"]})
-        found.gateway("gateway", revoke_within_ms=2000)
-        return found
-
-    def ask(self, world, key, path="/read/x"):
+    def keyed_world(self, fleet):
+        platform_world = PlatformWorld(fleet)
+        platform_world.target("reader", "llm", "prefill")
+        platform_world.target("writer", "llm", "decode")
+        platform_world.target("plain-1", "plain")
+        platform_world.configure(1, {"north": ["k-north"], "south": ["k-south"]})
+        platform_world.gateway("gateway", revoke_within_ms=2000)
+        return platform_world
+
+    def call_with_key(self, world, key, path="/read/x"):
         headers = {"Authorization": f"Bearer {key}", "Pimentolink-Tenant": "forged"}
         return world.request(path, headers=headers)
 
-    def test_target_learns_the_organisation_and_never_the_key(self, keyed):
-        _, plain = self.ask(keyed, "k-north")
-        told = keyed.runs("plain-1")["headers"][plain]
-        assert told["Pimentolink-Tenant"] == "north"
-        assert "Authorization" not in told
+    def test_target_learns_the_organisation_and_never_the_key(self, keyed_world):
+        _, plain = self.call_with_key(keyed_world, "k-north")
+        headers_received = keyed_world.runs("plain-1")["headers"][plain]
+        assert headers_received["Pimentolink-Tenant"] == "north"
+        assert "Authorization" not in headers_received
         headers = {"Authorization": "Bearer k-south"}
-        found, name = keyed.generate("/stream/x", **headers)
-        assert found.status == 200
+        reply, name = keyed_world.generate("/stream/x", **headers)
+        assert reply.status == 200
         for engine in ("reader", "writer"):
-            told = keyed.runs(engine)["headers"][name]
-            assert told["Pimentolink-Tenant"] == "south"
-            assert "Authorization" not in told
-
-    def test_unknown_and_revoked_keys_are_refused_and_logged_nowhere(self, keyed):
-        assert self.ask(keyed, "k-other")[0].status == 401
-        keyed.configure(2, {"north": ["k-north"], "south": []})
-        wait_until(lambda: self.ask(keyed, "k-south")[0].status == 401)
-        assert self.ask(keyed, "k-north")[0].status == 200
-        log = keyed.fleet.processes_by_name["gateway"].log_path.read_text()
+            headers_received = keyed_world.runs(engine)["headers"][name]
+            assert headers_received["Pimentolink-Tenant"] == "south"
+            assert "Authorization" not in headers_received
+
+    def test_unknown_and_revoked_keys_are_refused_and_logged_nowhere(self, keyed_world):
+        assert self.call_with_key(keyed_world, "k-other")[0].status == 401
+        keyed_world.configure(2, {"north": ["k-north"], "south": []})
+        wait_until(lambda: self.call_with_key(keyed_world, "k-south")[0].status == 401)
+        assert self.call_with_key(keyed_world, "k-north")[0].status == 200
+        log = keyed_world.fleet.processes_by_name["gateway"].log_path.read_text()
         assert not any(key in log for key in ("k-other", "k-south", "k-north"))
 
-    def test_no_key_is_served_past_the_bound_without_the_store(self, keyed):
-        assert self.ask(keyed, "k-north")[0].status == 200
-        keyed.fault("store", down="silent")
-        cut_at = time.monotonic()
-        wait_until(lambda: self.ask(keyed, "k-north")[0].status == 503)
-        assert time.monotonic() - cut_at < 2.5
-        wait_until(lambda: not keyed.is_ready("gateway"))
-        keyed.fault("store", down="")
-        wait_until(lambda: self.ask(keyed, "k-north")[0].status == 200)
+    def test_no_key_is_served_past_the_bound_without_the_store(self, keyed_world):
+        assert self.call_with_key(keyed_world, "k-north")[0].status == 200
+        keyed_world.fault("store", down="silent")
+        lost_at = time.monotonic()
+        wait_until(lambda: self.call_with_key(keyed_world, "k-north")[0].status == 503)
+        assert time.monotonic() - lost_at < 2.5
+        wait_until(lambda: not keyed_world.is_ready("gateway"))
+        keyed_world.fault("store", down="")
+        wait_until(lambda: self.call_with_key(keyed_world, "k-north")[0].status == 200)
--- a/tests/test_platform_dialect.py
+++ b/tests/test_platform_dialect.py
@@ -1,4 +1,4 @@
-"""What callers and engines send, proper or not, at the platform's dialect."""
+"""Tests parsing of valid and invalid requests of callers and replies of engines."""
 
 import h11
 import msgspec
@@ -30,38 +30,42 @@
         ["", "1e3", "nan", "inf", "1_0", " 7", "7 ", "+7", "0x7", "9" * 30]
     ),
 )
-NAMES = st.one_of(
+PART_NAMES = st.one_of(
     st.integers(0, 2**32).map(lambda number: f"{number:x}"),
     st.text("0123456789abcdefABCDEFx_-+ ", max_size=40),
 )
-PARTS = st.lists(st.tuples(NAMES, NUMBERS).map(":".join), max_size=4).map(",".join)
-RAW = st.binary(max_size=40)
+PROMPT_PARTS_VALUES = st.lists(
+    st.tuples(PART_NAMES, NUMBERS).map(":".join), max_size=4
+).map(",".join)
+ARBITRARY_BYTES = st.binary(max_size=40)
 
 
-def request(**headers):
-    """Write a request with the headers that are given."""
+def make_request(**headers):
+    """Build a request with the given headers."""
     names = {
         "parts": PROMPT_PARTS,
         "counts": TOKEN_COUNTS,
         "deadline": DEADLINE,
         "request_id": REQUEST_ID,
     }
-    told = {"request_id": b"r"} | headers
-    items = [(names[name], value) for name, value in told.items()]
+    values = {"request_id": b"r"} | headers
+    items = [(names[name], value) for name, value in values.items()]
     return HttpRequest(b"POST", b"/p/", ((b"Host", b"h.example"), *items), b"")
 
 
-def reply(body):
+def make_reply(body):
     return HttpReply(ReplyHead(200, ()), body)
 
 
 class TestRequest:
     def test_prompt_is_read(self):
-        http = request(parts=b"5c1e:800,91bd:410", counts=b"1210,80", deadline=b"900")
-        found = read_request(http, 3.0).unwrap()
-        assert found.parts == (PromptPart(0x5C1E, 800), PromptPart(0x91BD, 410))
-        assert (found.prompt_tokens, found.output_tokens) == (1210, 80)
-        assert (found.patience, found.arrived_at) == (0.9, 3.0)
+        http = make_request(
+            parts=b"5c1e:800,91bd:410", counts=b"1210,80", deadline=b"900"
+        )
+        parsed = read_request(http, 3.0).unwrap()
+        assert parsed.parts == (PromptPart(0x5C1E, 800), PromptPart(0x91BD, 410))
+        assert (parsed.prompt_tokens, parsed.output_tokens) == (1210, 80)
+        assert (parsed.patience, parsed.arrived_at) == (0.9, 3.0)
 
     @pytest.mark.parametrize(
         "headers",
@@ -82,90 +86,97 @@
         ],
     )
     def test_what_cannot_be_meant_is_refused(self, headers):
-        found = read_request(request(**headers), 0.0)
-        assert isinstance(found.err(), InvalidRequest)
+        parsed = read_request(make_request(**headers), 0.0)
+        assert isinstance(parsed.err(), InvalidRequest)
 
     def test_long_names_of_parts_are_told_apart(self):
-        http = request(parts=b"aa" * 16 + b":7," + b"ab" * 16 + b":7")
+        http = make_request(parts=b"aa" * 16 + b":7," + b"ab" * 16 + b":7")
         first, second = read_request(http, 0.0).unwrap().parts
         assert first.part_id != second.part_id
 
     @settings(max_examples=10_000, deadline=None)
     @given(
-        parts=PARTS.map(str.encode) | RAW,
-        counts=st.tuples(NUMBERS, NUMBERS).map(",".join).map(str.encode) | RAW,
-        deadline=NUMBERS.map(str.encode) | RAW,
+        parts=PROMPT_PARTS_VALUES.map(str.encode) | ARBITRARY_BYTES,
+        counts=st.tuples(NUMBERS, NUMBERS).map(",".join).map(str.encode)
+        | ARBITRARY_BYTES,
+        deadline=NUMBERS.map(str.encode) | ARBITRARY_BYTES,
     )
     def test_any_request_is_served_or_refused(self, parts, counts, deadline):
-        http = request(parts=parts, counts=counts, deadline=deadline)
-        found = read_request(http, 0.0)
-        if isinstance(found, Err):
-            assert isinstance(found.err_value, InvalidRequest)
+        http = make_request(parts=parts, counts=counts, deadline=deadline)
+        parsed = read_request(http, 0.0)
+        if isinstance(parsed, Err):
+            assert isinstance(parsed.err_value, InvalidRequest)
             return
-        asked = found.ok_value
-        assert asked.prompt_tokens >= 0
-        assert all(part.tokens >= 0 for part in asked.parts)
-        message = PrefillStarted(1, 2, asked.prompt_tokens, parts_of(asked.parts))
+        parsed_request = parsed.ok_value
+        assert parsed_request.prompt_tokens >= 0
+        assert all(part.tokens >= 0 for part in parsed_request.parts)
+        message = PrefillStarted(
+            1, 2, parsed_request.prompt_tokens, parts_of(parsed_request.parts)
+        )
         assert PeerOutbox("life").add(message)
-        PlatformDialect().sending(asked, Sending("e", asked.patience))
+        PlatformDialect().sending(parsed_request, Sending("e", parsed_request.patience))
 
 
 class TestReply:
     def test_cache_is_named(self):
-        found = PlatformDialect().read_prompt(reply(b'{"kvHandle":"3f","tokens":7}'))
-        name = PlatformDialect().cache_source("10.0.0.1:80", found.unwrap())
+        parsed = PlatformDialect().read_prompt(
+            make_reply(b'{"kvHandle":"3f","tokens":7}')
+        )
+        name = PlatformDialect().cache_source("10.0.0.1:80", parsed.unwrap())
         assert name == "10.0.0.1:80/3f"
 
     @pytest.mark.parametrize("handle", ["", "a\r\nX: y", "a b", "a/b", "é", "a" * 500])
     def test_name_that_fits_into_no_header_is_refused(self, handle):
         body = msgspec.json.encode({"kvHandle": handle, "tokens": 1})
-        found = PlatformDialect().read_prompt(reply(body))
-        assert isinstance(found.err(), ReplyInvalid)
+        parsed = PlatformDialect().read_prompt(make_reply(body))
+        assert isinstance(parsed.err(), ReplyInvalid)
 
     def test_deep_nesting_is_refused(self):
-        found = PlatformDialect().read_report(reply(b'{"x":' + b"[" * 100_000))
-        assert isinstance(found.err(), ReplyInvalid)
+        parsed = PlatformDialect().read_report(make_reply(b'{"x":' + b"[" * 100_000))
+        assert isinstance(parsed.err(), ReplyInvalid)
 
     @settings(max_examples=10_000, deadline=None)
     @given(body=likely("kvHandle", "tokens", "version") | DOCUMENTS)
     def test_any_answer_to_a_reading_is_read_or_refused(self, body):
-        found = PlatformDialect().read_prompt(reply(body))
-        if isinstance(found, Ok):
-            name = PlatformDialect().cache_source("10.0.0.1:80", found.ok_value)
+        parsed = PlatformDialect().read_prompt(make_reply(body))
+        if isinstance(parsed, Ok):
+            name = PlatformDialect().cache_source("10.0.0.1:80", parsed.ok_value)
             headers = [("Host", "x"), ("Source", name)]
             h11.Request(method="GET", target="/", headers=headers)
-            h11.Request(**_head(PlatformDialect().drop_cache("x", found.ok_value)))
+            h11.Request(
+                **head_fields(PlatformDialect().drop_cache("x", parsed.ok_value))
+            )
         else:
-            assert isinstance(found.err_value, ReplyInvalid)
+            assert isinstance(parsed.err_value, ReplyInvalid)
 
     @settings(max_examples=10_000, deadline=None)
     @given(body=likely("phase", "busy", "sequence") | DOCUMENTS)
     def test_any_report_is_read_or_refused(self, body):
-        found = PlatformDialect().read_report(reply(body))
-        assert isinstance(found, Ok) or isinstance(found.err_value, ReplyInvalid)
+        parsed = PlatformDialect().read_report(make_reply(body))
+        assert isinstance(parsed, Ok) or isinstance(parsed.err_value, ReplyInvalid)
 
     @settings(max_examples=10_000, deadline=None)
     @given(
         body=st.lists(
-            st.tuples(st.just(""), NAMES, st.integers(), st.just("m")), max_size=3
+            st.tuples(st.just(""), PART_NAMES, st.integers(), st.just("m")), max_size=3
         ).map(
             lambda held: msgspec.json.encode(
                 {"held": [list(map(str, e)) for e in held]}
             )
         )
         | st.lists(
-            st.tuples(st.just(""), NAMES, st.integers(-9, 9999), st.just("m")),
+            st.tuples(st.just(""), PART_NAMES, st.integers(-9, 9999), st.just("m")),
             max_size=3,
         ).map(lambda held: msgspec.json.encode({"held": held}))
         | DOCUMENTS
     )
     def test_any_list_of_parts_is_read_or_refused(self, body):
-        found = PlatformDialect().read_parts(reply(body))
-        if isinstance(found, Err):
-            assert isinstance(found.err_value, ReplyInvalid)
+        parsed = PlatformDialect().read_parts(make_reply(body))
+        if isinstance(parsed, Err):
+            assert isinstance(parsed.err_value, ReplyInvalid)
             return
-        assert all(part.tokens >= 0 for part in found.ok_value)
+        assert all(part.tokens >= 0 for part in parsed.ok_value)
 
 
-def _head(http):
+def head_fields(http):
     return {"method": http.method, "target": http.path, "headers": list(http.headers)}
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -1,4 +1,4 @@
-"""Documents of the platform's store, proper or not."""
+"""Tests parsing of valid and invalid documents of the platform's store."""
 
 from random import Random
 
@@ -35,22 +35,22 @@
 }
 
 
-def changed(document):
-    """Make a document of which some fields are gone or have any value."""
+def variants_of(document):
+    """Generate variants of a document: fields may be missing or have any value."""
     fields = {name: st.just(value) | VALUES for name, value in document.items()}
     return st.fixed_dictionaries({}, optional=fields)
 
 
-BACKENDS = st.lists(changed({"service": "s", "weight": 1.5}), max_size=2)
+BACKENDS = st.lists(variants_of({"service": "s", "weight": 1.5}), max_size=2)
 ROUTES = st.lists(
-    st.tuples(changed(ROUTE), BACKENDS).map(
+    st.tuples(variants_of(ROUTE), BACKENDS).map(
         lambda pair: pair[0] | {"weightedBackends": pair[1]}
     )
-    | changed(ROUTE),
+    | variants_of(ROUTE),
     max_size=2,
 )
 SERVICES = st.lists(
-    st.tuples(changed(SERVICE), changed(ENGINE)).map(
+    st.tuples(variants_of(SERVICE), variants_of(ENGINE)).map(
         lambda pair: pair[0] | {"engine": pair[1]}
     ),
     max_size=2,
@@ -60,7 +60,7 @@
 ).map(msgspec.json.encode)
 
 
-def read(**route):
+def read_route(**route):
     document = {"version": 1, "routes": [ROUTE | route], "services": []}
     return PlatformDocuments().read_configuration(msgspec.json.encode(document))
 
@@ -68,22 +68,24 @@
 class TestConfiguration:
     def test_route_that_leads_to_no_service_is_refused(self):
         backends = [{"service": "a", "weight": 0}, {"service": "b", "weight": 0}]
-        found = read(weightedBackends=backends)
-        assert isinstance(found.err(), DocumentInvalid)
+        parsed = read_route(weightedBackends=backends)
+        assert isinstance(parsed.err(), DocumentInvalid)
 
     def test_service_without_a_share_gets_nothing(self):
         backends = [{"service": "a", "weight": 0}, {"service": "b", "weight": 1}]
-        route = read(weightedBackends=backends).unwrap().match("h.example", "/p/x")
+        route = (
+            read_route(weightedBackends=backends).unwrap().match("h.example", "/p/x")
+        )
         assert route.unwrap().pick_service(Random(1)) == "b"
 
     @settings(max_examples=10_000, deadline=None)
     @given(document=CONFIGURATIONS | DOCUMENTS)
     def test_any_configuration_can_be_used_or_is_refused(self, document):
-        found = PlatformDocuments().read_configuration(document)
-        if isinstance(found, Err):
-            assert isinstance(found.err_value, DocumentInvalid)
+        parsed = PlatformDocuments().read_configuration(document)
+        if isinstance(parsed, Err):
+            assert isinstance(parsed.err_value, DocumentInvalid)
             return
-        table = found.ok_value
+        table = parsed.ok_value
         for route in table.routes_by_name.values():
             route.pick_service(Random(1))
             table.match(route.host, route.prefix)
@@ -101,8 +103,8 @@
     @pytest.mark.parametrize("address", ["", "10.0.0.1", "10.0.0.1:x", ":80", "a:0"])
     def test_target_that_cannot_be_called_is_refused(self, address):
         document = msgspec.json.encode(TARGET | {"address": address})
-        found = PlatformDocuments().read_target("servers/e", document)
-        assert isinstance(found.err(), DocumentInvalid)
+        parsed = PlatformDocuments().read_target("servers/e", document)
+        assert isinstance(parsed.err(), DocumentInvalid)
 
     @settings(max_examples=10_000, deadline=None)
     @given(
@@ -110,11 +112,11 @@
         document=likely("phase", "born", **TARGET) | DOCUMENTS,
     )
     def test_any_entry_can_be_used_or_is_refused(self, name, document):
-        found = PlatformDocuments().read_target(f"servers/{name}", document)
-        if isinstance(found, Ok):
-            target = found.ok_value
+        parsed = PlatformDocuments().read_target(f"servers/{name}", document)
+        if isinstance(parsed, Ok):
+            target = parsed.ok_value
             split_address(target.address)
             headers = [("Host", target.address), ("Instance", target.target_id)]
             h11.Request(method="GET", target="/", headers=headers)
         else:
-            assert isinstance(found.err_value, DocumentInvalid)
+            assert isinstance(parsed.err_value, DocumentInvalid)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""Answers of the platform's store, proper or not, without sockets."""
+"""Tests how valid and invalid replies of the platform's store are handled."""
 
 import msgspec
 import pytest
@@ -10,7 +10,7 @@
 from pimentolink.gatewaysettings import ConnectionSettings, StoreSettings
 from pimentolink.httptypes import HttpReply, ReplyHead
 from pimentolink.keyspace import Write
-from pimentolink.platform import store as module
+from pimentolink.platform import store as store_module
 from pimentolink.platform.store import PlatformStore
 from pimentolink.timers import ManualTimers
 from tests.jsonvalues import DOCUMENTS, VALUES, likely
@@ -22,7 +22,7 @@
     ),
     max_size=2,
 )
-ANSWERS = st.one_of(
+REPLIES = st.one_of(
     likely("lease", "revision", **ITEM),
     st.fixed_dictionaries(
         {
@@ -43,35 +43,35 @@
 }
 
 
-def outcome(call, status, body):
-    """Make a call that is answered at once; return its value or its failure."""
+def call_outcome(call, status, body):
+    """Make a call whose reply is available at once; return its result or failure."""
 
-    async def answer(*arguments):
+    async def reply_at_once(*arguments):
         return HttpReply(ReplyHead(status, ()), body)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(module, "exchange", answer)
+        patch.setattr(store_module, "exchange", reply_at_once)
         settings = StoreSettings(address="127.0.0.1:1")
         store = PlatformStore(None, settings, ConnectionSettings(), ManualTimers())
-        found = []
+        outcomes = []
         pending: Deferred = CALLS[call](store)
-        pending.addBoth(found.append)
-    return found[0]
+        pending.addBoth(outcomes.append)
+    return outcomes[0]
 
 
 class TestAnswers:
     def test_value_that_is_no_base64_counts_as_no_answer(self):
         body = msgspec.json.encode(ITEM | {"value": "a"})
-        failure = outcome("read", 200, body)
+        failure = call_outcome("read", 200, body)
         assert failure.check(KeyValueUnavailable)
 
     @settings(max_examples=10_000, deadline=None)
     @given(
         call=st.sampled_from(sorted(CALLS)),
         status=st.sampled_from([200, 200, 200, 404, 410, 412, 429, 503]),
-        body=ANSWERS,
+        body=REPLIES,
     )
     def test_any_answer_is_read_or_fails_as_the_store_may(self, call, status, body):
-        found = outcome(call, status, body)
-        if hasattr(found, "check"):
-            assert found.check(Failure), found
+        result = call_outcome(call, status, body)
+        if hasattr(result, "check"):
+            assert result.check(Failure), result
