--- a/pimentolink/platform/store.py
+++ b/pimentolink/platform/store.py
@@ -154,7 +154,7 @@
             page = await self._get(f"/kv-range?{urlencode(query)}", _RangeReply)
             epoch = self.epoch if epoch is None else epoch
             if epoch != self.epoch:
-                raise KeyValueUnavailable("the store was restored between two pages")
+                raise KeyValueUnavailable("restored between two pages")
             # The pages are not a consistent snapshot, so the caller must watch for
             # changes from the revision of the first page on.
             revision = page.current_rev if revision is None else revision
@@ -235,7 +235,7 @@
         }
         reply = await self._post("/kv-txn", document)
         if self.epoch != epoch and not is_first:
-            raise KeyValueUnavailable("the store was restored during the transaction")
+            raise KeyValueUnavailable("the store was restored meanwhile")
         if reply.head.status == 412:
             return None
         if reply.head.status == 404:
@@ -295,7 +295,7 @@
         try:
             reply = await with_timeout(self._timers, timeout, pending)
         except TimeoutError as error:
-            raise KeyValueUnavailable(f"no reply within {timeout:g} s") from error
+            raise KeyValueUnavailable(f"no answer within {timeout:g} s") from error
         except CancelledError:
             raise
         except Failure as failure:
@@ -314,7 +314,7 @@
             return
         epoch, previous = int(value), self.epoch
         if epoch < previous:
-            raise KeyValueUnavailable("the reply predates a restore of the store")
+            raise KeyValueUnavailable("an answer from before the store was restored")
         is_restored = self._is_epoch_known and epoch > previous
         self.epoch, self._is_epoch_known = epoch, True
         if is_restored:
@@ -332,7 +332,7 @@
     parsed = read_json(reply.body, reply_type)
     if isinstance(parsed, Err):
         detail = parsed.err_value.detail
-        raise KeyValueUnavailable(f"invalid reply: {detail}")
+        raise KeyValueUnavailable(f"an answer that cannot be read: {detail}")
     return parsed.ok_value
 
 
@@ -346,4 +346,4 @@
     try:
         return base64.b64decode(text, validate=True)
     except binascii.Error as error:
-        raise KeyValueUnavailable(f"invalid value: {error}") from error
+        raise KeyValueUnavailable(f"a value that cannot be read: {error}") from error
