--- a/pimentolink/cli.py
+++ b/pimentolink/cli.py
@@ -1,4 +1,4 @@
-"""The command line: parses, calls porcelain, prints."""
+"""Command line interface: parses arguments, calls porcelain, prints results."""
 
 from __future__ import annotations
 
@@ -35,98 +35,100 @@
     """Check, compare and apply configurations."""
 
     def check(self, base: str, *overlays: str) -> None:
-        """Check a base file with its overlays; exit code 2 if it has faults."""
-        _checked(base, overlays)
+        """Check a base file merged with its overlays; exit code 2 if it has errors."""
+        _check_or_exit(base, overlays)
         print("ok")
 
     def diff(self, base: str, *overlays: str, platform: str) -> None:
         """Compare a configuration with the accepted one."""
-        configuration = _checked(base, overlays)
-        store = _Platform(platform)
-        found = store.run(porcelain.diff_configuration(store.store, configuration))
-        for item in found:
-            print(f"{item.path}: {_short(item.before)} -> {_short(item.after)}")
+        configuration = _check_or_exit(base, overlays)
+        services = _PlatformServices(platform)
+        differences = services.run(
+            porcelain.diff_configuration(services.store, configuration)
+        )
+        for item in differences:
+            print(f"{item.path}: {_format(item.before)} -> {_format(item.after)}")
 
     def apply(
         self, base: str, *overlays: str, platform: str, against: int | None = None
     ) -> None:
-        """Put a configuration into force; exit code 4 if another came first."""
-        configuration = _checked(base, overlays)
-        store = _Platform(platform)
-        outcome = store.run(
+        """Make a configuration the accepted one; exit code 4 if another came first."""
+        configuration = _check_or_exit(base, overlays)
+        services = _PlatformServices(platform)
+        outcome = services.run(
             porcelain.apply_configuration(
-                store.store, configuration, getpass.getuser(), against
+                services.store, configuration, getpass.getuser(), against
             )
         )
-        accepted = _accepted(outcome)
+        accepted = _unwrap_or_exit(outcome)
         print(f"version {accepted.version} accepted ({accepted.change_id})")
 
     def show(self, platform: str) -> None:
         """Print the accepted configuration as JSON."""
-        store = _Platform(platform)
-        accepted = store.run(porcelain.show_configuration(store.store))
+        services = _PlatformServices(platform)
+        accepted = services.run(porcelain.show_configuration(services.store))
         if accepted is None:
-            _end(EXIT_FAILED, "no configuration is accepted yet")
+            _exit_with(EXIT_FAILED, "no configuration is accepted yet")
         _print_json(msgspec.to_builtins(accepted))
 
     def history(self, platform: str, most: int = 20, json: bool = False) -> None:
-        """List accepted configurations, the newest first."""
-        store = _Platform(platform)
-        versions = store.run(porcelain.configuration_history(store.store, most))
+        """List accepted configurations, newest first."""
+        services = _PlatformServices(platform)
+        versions = services.run(porcelain.configuration_history(services.store, most))
         rows = [
             {
-                "version": item.version,
-                "applied_at": item.applied_at,
-                "author": item.author,
-                "change_id": item.change_id,
+                "version": accepted.version,
+                "applied_at": accepted.applied_at,
+                "author": accepted.author,
+                "change_id": accepted.change_id,
             }
-            for item in versions
+            for accepted in versions
         ]
         _print_rows(rows, json)
 
 
 class TargetCommands:
-    """Keep targets from new work, or let them have some again."""
+    """Drain targets, or return them to service."""
 
     def drain(self, target: str, platform: str) -> None:
-        """Keep a target from new work; what it has, it finishes."""
-        self._set(target, True, platform)
+        """Send a target no new requests; it completes those that it has."""
+        self._set_drained(target, True, platform)
 
     def restore(self, target: str, platform: str) -> None:
-        """Let a target have new work again; ``return`` on the command line."""
-        self._set(target, False, platform)
+        """Return a drained target to service; ``return`` on the command line."""
+        self._set_drained(target, False, platform)
 
-    def _set(self, target: str, is_drained: bool, platform: str) -> None:
-        store = _Platform(platform)
-        outcome = store.run(
+    def _set_drained(self, target: str, is_drained: bool, platform: str) -> None:
+        services = _PlatformServices(platform)
+        outcome = services.run(
             porcelain.set_target_drained(
-                store.store, target, is_drained, getpass.getuser()
+                services.store, target, is_drained, getpass.getuser()
             )
         )
-        accepted = _accepted(outcome)
+        accepted = _unwrap_or_exit(outcome)
         state = "drained" if is_drained else "in service"
         print(f"{target} {state} as of version {accepted.version}")
 
 
 class PlanCommands:
-    """Look at what engines should be."""
+    """Show the desired state of engines."""
 
     def show(self, platform: str, json: bool = False) -> None:
-        """List what the plans want of each engine."""
-        store = _Platform(platform)
-        planned = store.run(porcelain.show_plans(store.store))
+        """List the role and the models that the plans assign to each engine."""
+        services = _PlatformServices(platform)
+        planned = services.run(porcelain.show_plans(services.store))
         _print_rows([target._asdict() for target in planned], json)
 
 
 class RequestCommands:
-    """Look at single requests."""
+    """Inspect single requests."""
 
     def trace(self, request: str, platform: str, key: str, json: bool = False) -> None:
-        """List the hops of a traced request; ``key`` is the shared key's file."""
-        store = _Platform(platform)
-        spans = store.run(
+        """List the spans of a traced request; ``key`` is the file of the shared key."""
+        services = _PlatformServices(platform)
+        spans = services.run(
             porcelain.trace_request(
-                store.client, store.instances, _read_key(key), request
+                services.client, services.instances, _read_shared_key(key), request
             )
         )
         if json:
@@ -150,7 +152,7 @@
     """Serving system for a fixed fleet whose prompt-to-output mix shifts."""
 
     def __init__(self) -> None:
-        """Group the commands."""
+        """Create the groups of commands."""
         self.config = ConfigCommands()
         self.target = TargetCommands()
         self.plan = PlanCommands()
@@ -161,65 +163,68 @@
         """Run an entry until SIGTERM."""
         from pimentolink.daemon import EntryDaemon, run
 
-        read = _read(EntrySettings, [settings, *overlays])
-        sys.exit(run(lambda reactor: EntryDaemon(reactor, read)))
+        entry_settings = _read_settings(EntrySettings, [settings, *overlays])
+        sys.exit(run(lambda reactor: EntryDaemon(reactor, entry_settings)))
 
     def sidecar(self, settings: str, *overlays: str) -> None:
         """Run a sidecar until SIGTERM."""
         from pimentolink.daemon import SidecarDaemon, run
 
-        read = _read(SidecarSettings, [settings, *overlays])
-        sys.exit(run(lambda reactor: SidecarDaemon(reactor, read)))
+        sidecar_settings = _read_settings(SidecarSettings, [settings, *overlays])
+        sys.exit(run(lambda reactor: SidecarDaemon(reactor, sidecar_settings)))
 
     def analyze(
         self, *logs: str, window: float = 2.0, plot: str = "", json: bool = False
     ) -> None:
         """
-        Tell from gateways' logs how engines were used; exit code 2 without logs.
+        Summarize engine utilisation from gateways' logs; exit code 2 without logs.
 
-        :param window: seconds of each window.
-        :param plot: SVG or PNG file for the windows.
+        :param window: length of a window in seconds.
+        :param plot: SVG or PNG file to plot the windows to.
         """
         if not logs or window <= 0:
-            _end(EXIT_INVALID, "one log or more, and a window above 0 s")
+            _exit_with(EXIT_INVALID, "one log or more, and a window above 0 s")
         try:
-            found = porcelain.analyze_logs(list(logs), window)
+            analysis = porcelain.analyze_logs(list(logs), window)
         except OSError as error:
-            _end(EXIT_INVALID, str(error))
+            _exit_with(EXIT_INVALID, str(error))
         if plot:
-            _plot(found, plot)
+            _plot_or_exit(analysis, plot)
         if json:
-            _print_json(_document(found))
+            _print_json(_to_document(analysis))
             return
-        for title, rows in _document(found).items():
+        for title, rows in _to_document(analysis).items():
             if isinstance(rows, list):
                 print(f"\n{title}")
-                _print_rows([_flat(row) for row in rows])
-        print(f"\n{found.lines} lines, {found.unreadable} without what is told here")
+                _print_rows([_flatten_row(row) for row in rows])
+        print(
+            f"\n{analysis.lines} lines, {analysis.unreadable} without what is told here"
+        )
 
     def status(self, platform: str, key: str, json: bool = False) -> None:
-        """Ask every listed entry how it is; ``key`` is the shared key's file."""
-        store = _Platform(platform)
-        found = store.run(
-            porcelain.status(store.client, store.instances, _read_key(key))
+        """Show the status of each listed entry; ``key`` is the shared key's file."""
+        services = _PlatformServices(platform)
+        outcomes = services.run(
+            porcelain.status(services.client, services.instances, _read_shared_key(key))
         )
-        told = [item.ok_value for item in found if not isinstance(item, Err)]
-        silent = [str(item.err_value) for item in found if isinstance(item, Err)]
+        statuses = [item.ok_value for item in outcomes if not isinstance(item, Err)]
+        errors = [str(item.err_value) for item in outcomes if isinstance(item, Err)]
         if json:
-            _print_json({"entries": told, "silent": silent})
+            _print_json({"entries": statuses, "silent": errors})
             return
         _print_rows(
-            [{k: v for k, v in item.items() if k != "targets"} for item in told], False
+            [{k: v for k, v in item.items() if k != "targets"} for item in statuses],
+            False,
         )
-        for item in told:
+        for item in statuses:
             print(f"\ntargets as {item['instance']} knows them")
             _print_rows(item["targets"], False)
-        for line in silent:
-            print(line)
+        for error in errors:
+            print(error)
 
 
 class GatewayCommands:
-    """Run a gateway on the users' platform, or check what it would run on."""
+    """Run a gateway on the users' platform, or check and inspect one."""
 
     def run(self, settings: str) -> None:
         """Run a gateway until SIGTERM."""
@@ -228,62 +233,69 @@
         sys.exit(run(settings))
 
     def check(self, settings: str, configuration: str = "") -> None:
-        """Check settings, and a configuration of the platform, without any call."""
-        _read(GatewaySettings, [settings])
+        """Check settings, and a platform configuration, without any network call."""
+        _read_settings(GatewaySettings, [settings])
         if configuration:
-            found = porcelain.check_platform_configuration(configuration)
-            if isinstance(found, Err):
-                _end(EXIT_INVALID, str(found.err_value))
-            table = found.ok_value
+            outcome = porcelain.check_platform_configuration(configuration)
+            if isinstance(outcome, Err):
+                _exit_with(EXIT_INVALID, str(outcome.err_value))
+            table = outcome.ok_value
             routes = len(table.routes_by_name)
             print(f"version {table.version}, {routes} routes")
         print("ok")
 
     def status(self, settings: str, json: bool = False) -> None:
-        """Show what the store of a gateway's settings tells of the deployment."""
+        """Show the deployment's status from the store named in a gateway's settings."""
         from twisted.internet import reactor as default_reactor
 
         from pimentolink.platform.edge import make_store
 
         reactor: Any = default_reactor
-        store, documents = make_store(reactor, _read(GatewaySettings, [settings]))
-        found = _run(reactor, porcelain.deployment_status(store, documents))
+        store, documents = make_store(
+            reactor, _read_settings(GatewaySettings, [settings])
+        )
+        deployment = _run_reactor(
+            reactor, porcelain.deployment_status(store, documents)
+        )
         targets = [
-            target._asdict() | {"role": target.role.value} for target in found.targets
+            target._asdict() | {"role": target.role.value}
+            for target in deployment.targets
         ]
-        gateways = [gateway._asdict() for gateway in found.gateways]
-        suspects = [suspect._asdict() for suspect in found.suspects]
+        gateways = [gateway._asdict() for gateway in deployment.gateways]
+        suspects = [suspect._asdict() for suspect in deployment.suspects]
         if json:
             rows = {"targets": targets, "gateways": gateways, "suspects": suspects}
-            _print_json(found._asdict() | rows)
+            _print_json(deployment._asdict() | rows)
             return
-        print(f"configuration: version {found.version}, {found.routes} routes")
-        print(f"leader: {found.leader or 'nobody'}")
+        print(
+            f"configuration: version {deployment.version}, {deployment.routes} routes"
+        )
+        print(f"leader: {deployment.leader or 'nobody'}")
         print("\ntargets")
         _print_rows(targets)
         print("\ngateways")
         _print_rows(gateways)
         print("\nrequests held back for crashes of targets")
         _print_rows(suspects)
-        for line in found.unreadable:
-            print(line)
+        for error in deployment.unreadable:
+            print(error)
 
     @SetParseFns(fingerprint=str)
     def release(self, settings: str, fingerprint: str) -> None:
-        """Let a request be sent again that is held back; ``status`` lists them."""
+        """Release a request that is held back; ``status`` lists such requests."""
         from twisted.internet import reactor as default_reactor
 
         from pimentolink.platform.edge import make_store
 
         reactor: Any = default_reactor
-        store, _ = make_store(reactor, _read(GatewaySettings, [settings]))
+        store, _ = make_store(reactor, _read_settings(GatewaySettings, [settings]))
         releasing = porcelain.release_suspect(store, fingerprint)
-        crashes = _accepted(_run(reactor, releasing))
+        crashes = _unwrap_or_exit(_run_reactor(reactor, releasing))
         print(f"{crashes} crashes are held against it no more")
 
 
-class _Platform:
-    """The platform's services, used for one command on a loop of its own."""
+class _PlatformServices:
+    """Clients of the platform's services, for one command with its own event loop."""
 
     def __init__(self, path: str) -> None:
         from twisted.internet import reactor as default_reactor
@@ -291,7 +303,7 @@
         from pimentolink.instances import HttpInstanceList
         from pimentolink.kvstore import HttpStore
 
-        settings = _read(PlatformSettings, [path])
+        settings = _read_settings(PlatformSettings, [path])
         reactor: Any = default_reactor
         self._reactor = reactor
         self.store = HttpStore(reactor, settings)
@@ -299,68 +311,68 @@
         self.client = porcelain.HttpClient(reactor, settings.timeout)
 
     def run(self, coroutine: Coroutine[Any, Any, Any]) -> Any:
-        """Run to the end; a failure ends the process with its text."""
-        return _run(self._reactor, coroutine)
+        """Run a coroutine to its end; exit with the error message if it fails."""
+        return _run_reactor(self._reactor, coroutine)
 
 
-def _run(reactor: Any, coroutine: Coroutine[Any, Any, Any]) -> Any:
-    """Run the loop until a coroutine ends; a failure ends the process with its text."""
+def _run_reactor(reactor: Any, coroutine: Coroutine[Any, Any, Any]) -> Any:
+    """Run the reactor until a coroutine ends; exit with the message of a failure."""
     from twisted.internet.defer import Deferred
 
     outcome: list[Any] = []
     failures: list[BaseException] = []
 
-    def begin() -> None:
+    def start() -> None:
         pending: Any = Deferred.fromCoroutine(coroutine)
         pending.addCallbacks(
             outcome.append, lambda failure: failures.append(failure.value)
         )
         pending.addBoth(lambda _: reactor.stop())
 
-    reactor.callWhenRunning(begin)
+    reactor.callWhenRunning(start)
     reactor.run()
     if failures and isinstance(failures[0], Failure):
-        _end(EXIT_FAILED, str(failures[0]))
+        _exit_with(EXIT_FAILED, str(failures[0]))
     if failures:
         raise failures[0]
     return outcome[0]
 
 
-def _checked(base: str, overlays: tuple[str, ...]) -> Configuration:
+def _check_or_exit(base: str, overlays: tuple[str, ...]) -> Configuration:
     outcome = porcelain.check_configuration(base, list(overlays))
     if isinstance(outcome, Err):
-        _end_invalid(outcome.err_value)
+        _exit_invalid(outcome.err_value)
     return outcome.ok_value
 
 
-def _accepted(outcome: Result[Any, Failure]) -> Any:
+def _unwrap_or_exit(outcome: Result[Any, Failure]) -> Any:
     if isinstance(outcome, Err):
         failure = outcome.err_value
         code = EXIT_CONFLICT if failure.status == 409 else EXIT_FAILED
-        _end(code, str(failure))
+        _exit_with(code, str(failure))
     return outcome.ok_value
 
 
-def _read(settings_type: Any, paths: list[str]) -> Any:
+def _read_settings(settings_type: Any, paths: list[str]) -> Any:
     outcome = read_settings(settings_type, paths)
     if isinstance(outcome, Err):
-        _end(EXIT_INVALID, str(outcome.err_value))
+        _exit_with(EXIT_INVALID, str(outcome.err_value))
     return outcome.ok_value
 
 
-def _read_key(path: str) -> str:
+def _read_shared_key(path: str) -> str:
     try:
         return Path(path).read_text().strip()
     except OSError as error:
-        _end(EXIT_INVALID, str(error))
+        _exit_with(EXIT_INVALID, str(error))
 
 
-def _end_invalid(invalid: ConfigurationInvalid) -> NoReturn:
+def _exit_invalid(invalid: ConfigurationInvalid) -> NoReturn:
     lines = [str(problem) for problem in invalid.problems]
-    _end(EXIT_INVALID, "\n".join(lines))
+    _exit_with(EXIT_INVALID, "\n".join(lines))
 
 
-def _end(code: int, text: str) -> NoReturn:
+def _exit_with(code: int, text: str) -> NoReturn:
     print(text, file=sys.stderr)
     sys.exit(code)
 
@@ -386,25 +398,25 @@
         )
 
 
-def _plot(found: Analysis, path: str) -> None:
+def _plot_or_exit(analysis: Analysis, path: str) -> None:
     try:
-        porcelain.plot_analysis(found, path)
+        porcelain.plot_analysis(analysis, path)
     except ImportError:
-        _end(EXIT_INVALID, "plots need the extra 'report': pip install .[report]")
+        _exit_with(EXIT_INVALID, "plots need the extra 'report': pip install .[report]")
     except (OSError, ValueError) as error:
-        _end(EXIT_INVALID, f"{path}: {error}")
+        _exit_with(EXIT_INVALID, f"{path}: {error}")
 
 
-def _document(found: Analysis) -> dict[str, Any]:
-    """Write an analysis with the names of its fields."""
+def _to_document(analysis: Analysis) -> dict[str, Any]:
+    """Convert an analysis to builtin types, keyed by field name."""
     return {
         name: [row._asdict() for row in value] if isinstance(value, list) else value
-        for name, value in found._asdict().items()
+        for name, value in analysis._asdict().items()
     }
 
 
-def _flat(row: dict[str, Any]) -> dict[str, Any]:
-    """Write tables within a row as words."""
+def _flatten_row(row: dict[str, Any]) -> dict[str, Any]:
+    """Format mappings within a row as ``key=value`` words."""
     return {
         name: " ".join(f"{key}={item}" for key, item in value.items())
         if isinstance(value, dict)
@@ -413,7 +425,7 @@
     }
 
 
-def _short(value: Any) -> str:
+def _format(value: Any) -> str:
     return "absent" if value is None else json.dumps(value)
 
 
@@ -421,7 +433,7 @@
     """Parse the command line and run one command."""
     arguments = sys.argv[1:]
     if arguments[:2] == ["target", "return"]:
-        # ``return`` is a keyword, so the method has another name.
+        # ``return`` is a keyword of Python, so the method has another name.
         arguments[1] = "restore"
     fire.Fire(Commands, command=arguments, name="pimentolink")
 
--- a/pimentolink/porcelain.py
+++ b/pimentolink/porcelain.py
@@ -1,4 +1,4 @@
-"""What operators can do, one plain function for each command."""
+"""Operator commands as plain functions, one for each command of the CLI."""
 
 from __future__ import annotations
 
@@ -50,11 +50,17 @@
 )
 from pimentolink.suspicion import KEEP
 
-CHANGE_TRIES = 5
+MAX_WRITE_ATTEMPTS = 5
 
 
 class Difference(NamedTuple):
-    """One difference between two configurations; ``None`` stands for absent."""
+    """
+    One difference between two configurations.
+
+    :ivar path: JSON pointer to the value.
+    :ivar before: old value; ``None`` if absent.
+    :ivar after: new value; ``None`` if absent.
+    """
 
     path: str
     before: Any
@@ -63,12 +69,12 @@
 
 def check_platform_configuration(path: str) -> Result[RoutingTable, DocumentInvalid]:
     """
-    Check a configuration of the users' platform, as its operator writes it.
+    Validate a configuration in the format of the users' platform.
 
-    :param path: of the document.
-    :returns: the routes that a gateway would follow, or what is wrong.
+    :param path: path of the document.
+    :returns: the routing table that a gateway would use, or the error.
     """
-    # Imported here: other commands do not need the platform's formats.
+    # Imported here because no other command needs the platform's formats.
     from pimentolink.platform.documents import PlatformDocuments
 
     try:
@@ -82,11 +88,11 @@
     base: str, overlays: list[str]
 ) -> Result[Configuration, ConfigurationInvalid]:
     """
-    Check a base file with its overlays.
+    Validate a base file merged with its overlays.
 
     :param base: path of the base file.
     :param overlays: paths of the overlays.
-    :returns: the configuration, or every fault in it.
+    :returns: the configuration, or every error found in it.
     """
     documents = read_documents([base, *overlays])
     if isinstance(documents, Err):
@@ -100,14 +106,14 @@
     """
     Compare a configuration with the accepted one.
 
-    :param store: the key-value service.
-    :param configuration: checked.
-    :raises KeyValueUnavailable: without an answer.
+    :param store: client of the key-value service.
+    :param configuration: validated configuration.
+    :raises KeyValueUnavailable: if the key-value service does not respond.
     """
     accepted = await ConfigurationStore(store).read()
     before = msgspec.to_builtins(accepted.configuration) if accepted else {}
     after = msgspec.to_builtins(configuration)
-    return [Difference(*found) for found in differences(before, after)]
+    return [Difference(*difference) for difference in differences(before, after)]
 
 
 async def apply_configuration(
@@ -117,21 +123,24 @@
     against: int | None = None,
 ) -> Result[AcceptedConfiguration, Failure]:
     """
-    Put a configuration into force.
-
-    :param store: the key-value service.
-    :param configuration: checked.
-    :param author: who applies it.
-    :param against: version it was made against; the one read now if ``None``.
-    :returns: what was accepted, or who came first.
-    :raises KeyValueUnavailable: without an answer before the write.
+    Make a configuration the accepted one.
+
+    :param store: client of the key-value service.
+    :param configuration: validated configuration.
+    :param author: user name recorded with the change.
+    :param against: version that must still be the accepted one, or the write is
+        rejected; ``None`` for the version that is accepted now.
+    :returns: the accepted configuration, or a conflict that names the author of the
+        version accepted in the meantime.
+    :raises KeyValueUnavailable: if the key-value service does not respond before the
+        write is sent.
     """
-    repository = ConfigurationStore(store)
+    config_store = ConfigurationStore(store)
     if against is None:
-        accepted = await repository.read()
+        accepted = await config_store.read()
         against = accepted.version if accepted else 0
     now = datetime.now(UTC).isoformat(timespec="seconds")
-    return await repository.replace(configuration, against, uuid4().hex, author, now)
+    return await config_store.replace(configuration, against, uuid4().hex, author, now)
 
 
 async def show_configuration(store: KeyValueStore) -> AcceptedConfiguration | None:
@@ -140,29 +149,30 @@
 
 
 async def configuration_history(
-    store: KeyValueStore, most: int = 20
+    store: KeyValueStore, limit: int = 20
 ) -> list[AcceptedConfiguration]:
-    """Read accepted configurations, the newest first."""
-    return await ConfigurationStore(store).history(most)
+    """Read up to ``limit`` accepted configurations, newest first."""
+    return await ConfigurationStore(store).history(limit)
 
 
 async def set_target_drained(
     store: KeyValueStore, target: str, is_drained: bool, author: str
 ) -> Result[AcceptedConfiguration, Failure]:
     """
-    Keep a target from new work, or let it have some again.
+    Drain a target, or return it to service.
 
-    Tries again when another operator's change comes between.
+    A drained target gets no new requests. Retries if another operator changes the
+    configuration concurrently.
 
-    :param store: the key-value service.
-    :param target: its name.
-    :param is_drained: whether to keep it from new work.
-    :param author: who asks.
+    :param store: client of the key-value service.
+    :param target: name of the target.
+    :param is_drained: whether the target is to be drained.
+    :param author: user name recorded with the change.
     """
     outcome: Result[AcceptedConfiguration, Failure] = Err(
         ReferenceUnknown(f"/targets/{target}", "no configuration is accepted yet")
     )
-    for _ in range(CHANGE_TRIES):
+    for _ in range(MAX_WRITE_ATTEMPTS):
         accepted = await ConfigurationStore(store).read()
         if accepted is None:
             return outcome
@@ -183,11 +193,11 @@
     keyspace: Keyspace, documents: Documents
 ) -> DeploymentStatus:
     """
-    Read how a deployment stands, as its gateways see it.
+    Read the status of a deployment from the store that its gateways use.
 
-    :param keyspace: the store.
-    :param documents: reads its documents.
-    :raises KeyValueUnavailable: without an answer.
+    :param keyspace: client of the store.
+    :param documents: parser for the documents in the store.
+    :raises KeyValueUnavailable: if the store does not respond.
     """
     return StatusReader(documents).read(await keyspace.read_all(""))
 
@@ -196,33 +206,40 @@
     keyspace: Keyspace, fingerprint: str
 ) -> Result[int, DocumentInvalid | WriteConflict]:
     """
-    Let a request be sent again that gateways hold back for crashes of targets.
+    Release a request that gateways hold back because it may crash targets.
 
-    :param fingerprint: as log lines and :func:`deployment_status` name it.
-    :returns: how many crashes are held against it no more.
-    :raises KeyValueUnavailable: without an answer.
+    :param keyspace: client of the store.
+    :param fingerprint: fingerprint of the request, as in log lines and in the result
+        of :func:`deployment_status`.
+    :returns: number of crashes that no longer count against the request.
+    :raises KeyValueUnavailable: if the store does not respond.
     """
-    stored = StoredSuspects()
+    suspects = StoredSuspects()
     for item in (await keyspace.read_all(SUSPECT_PREFIX)).items:
-        found = read_json(item.value, SuspectDocument)
-        if not isinstance(found, Err):
-            stored.take(found.ok_value)
-    crashes = stored.crashes_by_fingerprint().get(fingerprint, [])
+        parsed = read_json(item.value, SuspectDocument)
+        if not isinstance(parsed, Err):
+            suspects.take(parsed.ok_value)
+    crashes = suspects.crashes_by_fingerprint().get(fingerprint, [])
     if not crashes:
         return Err(DocumentInvalid(f"nothing is held against {fingerprint}"))
     key = clearing_key(fingerprint)
-    before = await keyspace.read(key)
-    expected = before.revision if before is not None else 0
+    clearing = await keyspace.read(key)
+    expected_revision = clearing.revision if clearing is not None else 0
     document = SuspectDocument([SuspectCleared(fingerprint, crashes[:MAX_CRASHES])])
     lease = await keyspace.grant(KEEP)
-    write = Write(key, msgspec.json.encode(document), expected, lease)
+    write = Write(key, msgspec.json.encode(document), expected_revision, lease)
     if await keyspace.write(write) is None:
         return Err(WriteConflict("another operator released it at the same time"))
     return Ok(len(crashes))
 
 
 class PlannedTarget(NamedTuple):
-    """What a plan wants of one target."""
+    """
+    Desired state of one target according to a plan.
+
+    :ivar models: desired version of each model, by model name.
+    :ivar plan: number of the plan that last changed this target.
+    """
 
     service: str
     region: str
@@ -234,22 +251,22 @@
 
 async def show_plans(store: KeyValueStore) -> list[PlannedTarget]:
     """
-    Read the plans of every group.
+    Read the plans of all groups.
 
-    :param store: the key-value service.
-    :raises KeyValueUnavailable: without an answer.
+    :param store: client of the key-value service.
+    :raises KeyValueUnavailable: if the key-value service does not respond.
     """
     accepted = await ConfigurationStore(store).read()
-    found: list[PlannedTarget] = []
+    planned: list[PlannedTarget] = []
     if accepted is None:
-        return found
+        return planned
     for group in groups_of(accepted.configuration):
         plan = decode_plan((await store.get(group.plan_key)).data)
-        found += [
-            PlannedTarget(*group, name, wanted.role, wanted.models, wanted.number)
-            for name, wanted in plan.wanted_by_target.items()
+        planned += [
+            PlannedTarget(*group, name, desired.role, desired.models, desired.number)
+            for name, desired in plan.wanted_by_target.items()
         ]
-    return found
+    return planned
 
 
 async def trace_request(
@@ -258,57 +275,62 @@
     """
     Collect the spans of a request from all entries.
 
-    :param client: makes the calls.
-    :param instances: the platform's list.
-    :param shared_key: proof that the asker belongs to the system.
-    :param request_id: as the answer's ``pimentolink-request`` header names it.
-    :returns: spans by start; none if the request was not traced or is forgotten.
+    :param client: HTTP client.
+    :param instances: the platform's list of instances.
+    :param shared_key: key that authenticates components of the system to each other.
+    :param request_id: value of the response header ``pimentolink-request``.
+    :returns: spans ordered by start time; empty if the request was not traced or its
+        spans were discarded.
     """
     path = f"{TRACE_PREFIX}{request_id}"
-    asked = await _ask_entries(client, instances, shared_key, path)
-    told = [item.ok_value for item in asked if not isinstance(item, Err)]
-    return sorted((span for spans in told for span in spans), key=lambda s: s["start"])
+    responses = await _query_entries(client, instances, shared_key, path)
+    span_lists = [
+        response.ok_value for response in responses if not isinstance(response, Err)
+    ]
+    return sorted(
+        (span for spans in span_lists for span in spans), key=lambda s: s["start"]
+    )
 
 
 async def status(
     client: HttpClient, instances: InstanceList, shared_key: str
 ) -> list[Result[dict[str, Any], Failure]]:
     """
-    Ask every listed entry how it is.
+    Request the status of every listed entry.
 
-    :param client: makes the calls.
-    :param instances: the platform's list.
-    :param shared_key: proof that the asker belongs to the system.
-    :returns: what each tells, or why it does not answer.
+    :param client: HTTP client.
+    :param instances: the platform's list of instances.
+    :param shared_key: key that authenticates components of the system to each other.
+    :returns: status of each entry, or why it could not be read.
     """
-    return await _ask_entries(client, instances, shared_key, STATUS_PATH)
+    return await _query_entries(client, instances, shared_key, STATUS_PATH)
 
 
-async def _ask_entries(
+async def _query_entries(
     client: HttpClient, instances: InstanceList, shared_key: str, path: str
 ) -> list[Result[Any, Failure]]:
     headers = {"authorization": f"Bearer {shared_key}"}
-    found: list[Result[Any, Failure]] = []
+    responses: list[Result[Any, Failure]] = []
     for instance in await instances.read(ENTRY):
         url = f"http://{instance.address}{path}"
         try:
-            answer = await client.request("GET", url, headers=headers, patience=2.0)
+            response = await client.request("GET", url, headers=headers, patience=2.0)
         except Exception as error:
-            found.append(Err(Failure(f"{instance.name}: {type(error).__name__}")))
+            responses.append(Err(Failure(f"{instance.name}: {type(error).__name__}")))
             continue
-        if answer.status == 200:
-            found.append(Ok(json.loads(answer.body)))
+        if response.status == 200:
+            responses.append(Ok(json.loads(response.body)))
         else:
-            found.append(Err(Failure(f"{instance.name}: status {answer.status}")))
-    return found
+            responses.append(Err(Failure(f"{instance.name}: status {response.status}")))
+    return responses
 
 
 def analyze_logs(paths: list[str], window: float) -> Analysis:
     """
-    Sum up the logs of some gateways.
+    Analyze the logs of some gateways.
 
-    :param paths: of files with their lines.
-    :param window: seconds of each window.
+    :param paths: paths of the log files.
+    :param window: length of a window in seconds.
     :raises OSError: if a file cannot be read.
     """
     with ExitStack() as stack:
@@ -316,11 +338,11 @@
         return analyze(chain.from_iterable(files), window)
 
 
-def plot_analysis(found: Analysis, path: str) -> None:
+def plot_analysis(analysis: Analysis, path: str) -> None:
     """
-    Draw prompts placed and refused, and how busy engines were.
+    Plot the prompts placed and refused and the utilisation of engines by window.
 
-    :param path: of the SVG or PNG file.
+    :param path: path of the SVG or PNG file to write.
     """
     import matplotlib
 
@@ -328,13 +350,15 @@
     from matplotlib import pyplot
 
     figure, (prompts, engines) = pyplot.subplots(2, sharex=True, figsize=(9, 6))
-    begins = [window.begins for window in found.windows]
+    window_starts = [window.begins for window in analysis.windows]
     for name in ("placed", "refused", "refused_idle"):
-        values = [getattr(window, name) for window in found.windows]
-        prompts.step(begins, values, where="post", label=name)
-    for name in sorted({key for item in found.windows for key in item.busy_by_engine}):
-        values = [item.busy_by_engine.get(name, 0.0) for item in found.windows]
-        engines.step(begins, values, where="post", label=name)
+        values = [getattr(window, name) for window in analysis.windows]
+        prompts.step(window_starts, values, where="post", label=name)
+    for name in sorted(
+        {key for item in analysis.windows for key in item.busy_by_engine}
+    ):
+        values = [item.busy_by_engine.get(name, 0.0) for item in analysis.windows]
+        engines.step(window_starts, values, where="post", label=name)
     prompts.set_ylabel("prompts")
     engines.set_ylabel("share of time reading")
     engines.set_xlabel("seconds")
