--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,6 +9,7 @@
 
 @pytest.fixture
 def fleet():
+    """Provide an empty fleet; the test fails if one of its processes logs a fault."""
     with Fleet() as running:
         yield running
         faults = running.faults()
@@ -17,7 +18,7 @@
 
 @pytest.fixture(scope="session")
 def loop():
-    """The reactor on a thread, so that tests may wait for Deferreds."""
+    """Run the reactor on a separate thread, so that tests can wait for Deferreds."""
     thread = threading.Thread(
         target=reactor.run, kwargs={"installSignalHandlers": False}, daemon=True
     )
@@ -31,11 +32,11 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Let tests that KNOWN-RED.txt lists fail; .ci/run prints the list."""
+    """Mark the tests listed in KNOWN-RED.txt as xfail; .ci/run prints the list."""
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
-    known = {line.partition(" | ")[0] for line in lines}
+    known_ids = {line.partition(" | ")[0] for line in lines}
     for item in items:
-        if item.nodeid in known:
+        if item.nodeid in known_ids:
             item.add_marker(pytest.mark.xfail(reason="listed in KNOWN-RED.txt"))
 
 
@@ -44,6 +45,7 @@
 
 @pytest.fixture(scope="session", autouse=True)
 def log_retention(tmp_path_factory):
+    """Keep the folders of fleets only if they ran during a failed test."""
     Fleet.retention = LogRetention(tmp_path_factory.mktemp("fleets"))
     yield
     Fleet.retention = None
@@ -51,7 +53,7 @@
 
 @pytest.hookimpl(wrapper=True)
 def pytest_runtest_makereport(item, call):
-    """Keep the logs of the processes of a test that fails, also if it is listed."""
+    """Keep the process logs of a failed test, also if KNOWN-RED.txt lists it."""
     report = yield
     has_failed = call.excinfo is not None and not call.excinfo.errisinstance(
         pytest.skip.Exception
@@ -71,7 +73,7 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Tell where the logs of failed tests are."""
+    """Print the folders that hold the process logs of failed tests."""
     for outcome in ("failed", "error", "xfailed"):
         for report in terminalreporter.getreports(outcome):
             for name, folder in report.user_properties:
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,4 +1,9 @@
-"""The scenario language: what to start, break and expect, a statement a line."""
+"""
+Parser and runner for the scenario language of the tests.
+
+Each line holds one statement, which starts a process, injects a fault, sends a request
+or checks an expectation.
+"""
 
 from pathlib import Path
 from typing import Any, NamedTuple, Protocol
@@ -63,45 +68,64 @@
 
 
 class ScenarioError(Exception):
-    """A line that is no statement."""
+    """Raised for a line that cannot be parsed as a statement."""
 
 
 class Condition(NamedTuple):
+    """A condition that ``expect`` checks and ``until`` waits for."""
+
     kind: str
     arguments: list[Any]
 
 
 class Statement(NamedTuple):
+    """
+    One statement of a scenario.
+
+    :ivar verb: name of the method of :class:`World` that runs it.
+    """
+
     verb: str
     arguments: list[Any]
     line: int
 
 
 class Scenario(NamedTuple):
+    """
+    A parsed scenario.
+
+    :ivar worlds: names of the worlds to run it in, ``virtual`` or ``real``.
+    """
+
     path: str
     worlds: list[str]
     statements: list[Statement]
 
 
 class World(Protocol):
-    """What a scenario runs in; a method for each verb besides these."""
+    """
+    Environment in which a scenario runs.
+
+    Besides the methods below it has one for each verb, which :func:`run` looks up by
+    name.
+    """
 
     def check(self, condition: Condition) -> bool: ...
 
     def wait_for(self, condition: Condition) -> bool: ...
 
 
-class _Build(Transformer):
-    """Turns the tree into statements."""
+class _StatementBuilder(Transformer):
+    """Builds statements from the parse tree."""
 
     def __default__(self, data: Any, children: list[Any], meta: Any) -> Any:
-        values = [_value(child) for child in children]
+        values = [_token_value(child) for child in children]
         if data == "header":
             return values
         if data == "start":
             return values[0], values[1:]
-        kinds = {rule for rule in CONDITIONS if rule == data}
-        if kinds:
+        matching_rules = {rule for rule in CONDITIONS if rule == data}
+        if matching_rules:
             return Condition(str(data), values)
         return Statement(str(data), values, meta.line)
 
@@ -126,7 +150,7 @@
 }
 
 
-def _value(child: Any) -> Any:
+def _token_value(child: Any) -> Any:
     if isinstance(child, Token):
         if child.type == "INT":
             return int(child)
@@ -135,14 +159,21 @@
 
 
 def parse(text: str, path: str) -> Scenario:
-    """Read a scenario; a line that is none is told with what was expected."""
+    """
+    Parse a scenario.
+
+    :raises ScenarioError: if a line is no statement; names the line and the expected
+        tokens.
+    """
     try:
         tree = _parser.parse(text.strip("\n") + "\n")
     except UnexpectedInput as error:
-        wanted = sorted(getattr(error, "allowed", None) or error.expected)  # type: ignore
+        expected_tokens = sorted(getattr(error, "allowed", None) or error.expected)  # type: ignore
         line = error.line if error.line > 0 else text.count("\n") + 1
-        raise ScenarioError(f"{path}:{line}: expected {' or '.join(wanted)}") from None
-    worlds, statements = _Build().transform(tree)
+        raise ScenarioError(
+            f"{path}:{line}: expected {' or '.join(expected_tokens)}"
+        ) from None
+    worlds, statements = _StatementBuilder().transform(tree)
     return Scenario(path, worlds, statements)
 
 
@@ -151,12 +182,16 @@
 
 
 def run(scenario: Scenario, world: World) -> None:
-    """Run every statement; a broken expectation names file and line."""
+    """
+    Run every statement in order.
+
+    :raises AssertionError: if an expectation is not met; names the file and line.
+    """
     for statement in scenario.statements:
-        where = f"{scenario.path}:{statement.line}"
+        location = f"{scenario.path}:{statement.line}"
         if statement.verb == "expect":
-            assert world.check(statement.arguments[0]), f"{where}: {statement}"
+            assert world.check(statement.arguments[0]), f"{location}: {statement}"
         elif statement.verb == "until":
-            assert world.wait_for(statement.arguments[0]), f"{where}: {statement}"
+            assert world.wait_for(statement.arguments[0]), f"{location}: {statement}"
         else:
             getattr(world, statement.verb)(*statement.arguments)
--- a/tests/test_end_to_end.py
+++ b/tests/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""The whole path over real processes: caller, entry, sidecar, target."""
+"""End-to-end tests over real processes: caller, entry, sidecar, target."""
 
 import json
 
@@ -19,19 +19,19 @@
         yield fleet
 
 
-def complete(fleet, **body):
+def post_completion(fleet, **body):
     url = fleet.url("entry", "/v1/completions")
     return call(url, "POST", {"model": "claims", "prompt": "hello", **body})
 
 
 class TestCompletions:
     def test_whole_answer_is_the_engines(self, small_fleet):
-        reply = complete(small_fleet, max_tokens=12)
+        reply = post_completion(small_fleet, max_tokens=12)
         assert reply.status == 200
         assert reply.json["choices"][0]["text"] == whole_answer("hello", 12)
 
     def test_streamed_answer_has_every_token_and_its_end(self, small_fleet):
-        reply = complete(small_fleet, max_tokens=7, stream=True)
+        reply = post_completion(small_fleet, max_tokens=7, stream=True)
         events = reply.body.decode().strip().split("\n\n")
         assert events[-1] == "data: [DONE]"
         chunks = [json.loads(event.removeprefix("data: ")) for event in events[:-1]]
@@ -99,7 +99,7 @@
             call(url, "POST", {"who": "c"}, {"idempotency-key": "c"}) for _ in range(3)
         ]
         assert {reply.status for reply in replies} == {200}
-        assert runs_of(small_fleet, '{"who": "c"}') == 1
+        assert count_runs(small_fleet, '{"who": "c"}') == 1
 
     def test_same_key_for_another_call_is_refused(self, small_fleet):
         url = small_fleet.url("entry", "/services/dispatch/send")
@@ -109,10 +109,10 @@
             422,
             "idempotency_key_reused",
         )
-        assert runs_of(small_fleet, '{"who": "e"}') == 0
+        assert count_runs(small_fleet, '{"who": "e"}') == 0
 
 
-def runs_of(fleet, call_body):
+def count_runs(fleet, call_body):
     services = ("dispatch-1", "dispatch-2")
     counts = [call(fleet.url(name, "/runs")).json for name in services]
     return sum(count.get(call_body, 0) for count in counts)
@@ -125,7 +125,7 @@
         try:
             for number in range(4):
                 prompt = f"own {number}"
-                reply = complete(small_fleet, prompt=prompt, max_tokens=6)
+                reply = post_completion(small_fleet, prompt=prompt, max_tokens=6)
                 assert reply.json["choices"][0]["text"] == whole_answer(prompt, 6)
         finally:
             call(faults, "PUT", {"cross_answers": False})
--- a/tests/test_older_system.py
+++ b/tests/test_older_system.py
@@ -1,4 +1,4 @@
-"""Moving a site over: a share of requests goes to the older system, and back."""
+"""Migration of a site: shifting a share of requests to the older system and back."""
 
 import json
 
@@ -18,8 +18,8 @@
         yield fleet
 
 
-def step_to(fleet, share):
-    """Put a share into force and wait for the entry and every sidecar."""
+def set_older_share(fleet, share):
+    """Apply a share and wait until the entry and every sidecar have adopted it."""
     document = configuration(older_system=fleet.address("older"))
     for service in document["services"].values():
         service["older_share"] = share
@@ -28,51 +28,52 @@
     fleet.apply(document)
     headers = {"authorization": f"Bearer {SHARED_KEY}"}
     platform = str(fleet.folder / "platform.json")
-    shown = fleet.command("config", "show", "--platform", platform).stdout
-    version = json.loads(shown)["version"]
+    output = fleet.command("config", "show", "--platform", platform).stdout
+    version = json.loads(output)["version"]
 
-    def is_in_force():
-        told = call(fleet.url("entry", "/pimentolink/status"), headers=headers).json
+    def is_adopted():
+        status = call(fleet.url("entry", "/pimentolink/status"), headers=headers).json
         logs = [
             process.log_path.read_text()
             for name, process in fleet.processes_by_name.items()
             if name.startswith("sidecar")
         ]
-        adopted = f'"version": {version}, "event": "configuration_adopted"'
-        return told["configuration_version"] == version and all(
-            adopted in log for log in logs
+        adoption_event = f'"version": {version}, "event": "configuration_adopted"'
+        return status["configuration_version"] == version and all(
+            adoption_event in log for log in logs
         )
 
-    wait_until(is_in_force, what="the step")
+    wait_until(is_adopted, what="the share to be adopted")
     fleet.wait_ready("entry", TARGETS)
 
 
-def dispatch(fleet, key):
+def call_dispatch(fleet, key):
     url = fleet.url("entry", "/services/dispatch/send")
     return call(url, "POST", key.encode(), {"idempotency-key": key})
 
 
-def runs(fleet, key):
-    ours = sum(
+def count_runs(fleet, key):
+    """Return how often a key ran in this system and in the older one."""
+    own_runs = sum(
         call(fleet.url(name, "/runs")).json.get(key, 0)
         for name in ("dispatch-1", "dispatch-2")
     )
-    return ours, call(fleet.url("older", "/asked")).json.get(key, 0)
+    return own_runs, call(fleet.url("older", "/asked")).json.get(key, 0)
 
 
 def test_share_is_stepped_up_and_back_and_no_call_runs_twice(site):
-    step_to(site, 1.0)
+    set_older_share(site, 1.0)
     body = {"model": "claims", "prompt": "older", "max_tokens": 6}
     reply = call(site.url("entry", "/v1/completions"), "POST", body)
     assert reply.json["choices"][0]["text"] == whole_answer("older", 6)
     assert call(site.url("older", "/asked")).json["completions"] == 1
-    assert dispatch(site, "early").json == {"older": True}
+    assert call_dispatch(site, "early").json == {"older": True}
 
-    step_to(site, 0.0)
-    assert dispatch(site, "late").status == 200
-    dispatch(site, "early")
-    assert runs(site, "early") == (0, 1)
-    assert runs(site, "late") == (1, 0)
+    set_older_share(site, 0.0)
+    assert call_dispatch(site, "late").status == 200
+    call_dispatch(site, "early")
+    assert count_runs(site, "early") == (0, 1)
+    assert count_runs(site, "late") == (1, 0)
     reply = call(site.url("entry", "/v1/completions"), "POST", body)
     assert call(site.url("older", "/asked")).json["completions"] == 1
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Every scenario, in each world that it names."""
+"""Runs every scenario in each of the worlds that its header names."""
 
 from pathlib import Path
 
--- a/tests/test_specs.py
+++ b/tests/test_specs.py
@@ -1,4 +1,9 @@
-"""The specifications hold, and each guard in them is needed."""
+"""
+Model checks of the specifications.
+
+Every property must hold with all guards, and removing any single guard must violate a
+property, so that no guard is redundant.
+"""
 
 import pytest
 from minicheck import check_safety
@@ -14,19 +19,19 @@
 ]
 
 
-def refuted(protocol):
+def violated_properties(protocol):
     result = check_safety(protocol, max_states=MAX_STATES)
     assert result["exhaustive"]
     properties = result["properties"].items()
-    return [name for name, found in properties if not found["holds"]]
+    return [name for name, verdict in properties if not verdict["holds"]]
 
 
 @pytest.mark.parametrize("specification", SPECIFICATIONS)
 def test_holds_with_every_guard(specification):
-    assert refuted(specification.specification()) == []
+    assert violated_properties(specification.specification()) == []
 
 
 @pytest.mark.parametrize(("specification", "guard"), GUARDS)
 def test_without_a_guard_there_is_a_counterexample(specification, guard):
     guards = specification.GUARDS - {guard}
-    assert refuted(specification.specification(guards)) != []
+    assert violated_properties(specification.specification(guards)) != []
