--- a/tools/bench.py
+++ b/tools/bench.py
@@ -1,4 +1,4 @@
-"""Measures one entry and one sidecar: added latency, tokens relayed, memory."""
+"""Measures the latency, token throughput and memory use of entry and sidecar."""
 
 from __future__ import annotations
 
@@ -14,36 +14,36 @@
 
 from tools.fleet import SHARED_KEY, Fleet, call, free_port
 
-RATE = 100.0
-LATENCY_SECONDS = 6.0
-RELAY_SECONDS = 6.0
-SOURCES = 3
+REQUESTS_PER_SECOND = 100.0
+LATENCY_MEASUREMENT_SECONDS = 6.0
+RELAY_MEASUREMENT_SECONDS = 6.0
+SOURCE_PROCESSES = 3
 TICKS_PER_SECOND = 100
 
 
 def processor_seconds(pid: int) -> float:
-    """Read the processor time that a process has used."""
+    """Read the CPU time in seconds that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 def resident_megabytes(pid: int) -> float:
-    """Read the resident memory of a process."""
+    """Read the resident memory of a process in MiB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return int(line.split()[1]) / 1024
     return 0.0
 
 
-def configuration(targets: list[str], plain: list[str]) -> dict[str, Any]:
-    """Describe one model service and one plain service."""
+def configuration(targets: list[str], plain_targets: list[str]) -> dict[str, Any]:
+    """Return a configuration with one model service and at most one plain service."""
     services: dict[str, Any] = {
         "m": {"kind": "model", "targets": targets, "work": "w", "models": ["m"]}
     }
-    if plain:
-        services["p"] = {"kind": "plain", "targets": plain, "work": "w"}
-    names = [*targets, *plain]
-    # The older system gives the orders here, so that nothing is planned.
+    if plain_targets:
+        services["p"] = {"kind": "plain", "targets": plain_targets, "work": "w"}
+    names = [*targets, *plain_targets]
+    # Orders are left to the older system, so that no planner runs.
     target = {"data_centre": "d", "orders_from": "older_system"}
     return {
         "site": "bench",
@@ -56,28 +56,33 @@
     }
 
 
-def open_loop(url: str, seconds: float) -> HdrHistogram:
-    """Call a URL at ``RATE`` from threads; latency counts from the due time."""
+def measure_open_loop_latency(url: str, seconds: float) -> HdrHistogram:
+    """
+    Call a URL at ``REQUESTS_PER_SECOND`` from several threads.
+
+    :returns: latencies in microseconds, each from the time at which the request was
+        due, so that delays in sending count.
+    """
     histogram = HdrHistogram(1, 60_000_000, 3)
     lock = threading.Lock()
-    count = int(RATE * seconds)
+    count = int(REQUESTS_PER_SECOND * seconds)
     start = time.monotonic() + 0.2
     numbers = iter(range(count))
 
-    def work() -> None:
+    def send_requests() -> None:
         while True:
             with lock:
                 number = next(numbers, None)
             if number is None:
                 return
-            due = start + number / RATE
+            due = start + number / REQUESTS_PER_SECOND
             time.sleep(max(0.0, due - time.monotonic()))
             call(url, "POST", b"{}")
-            took = time.monotonic() - due
+            elapsed = time.monotonic() - due
             with lock:
-                histogram.record_value(int(took * 1e6))
+                histogram.record_value(int(elapsed * 1e6))
 
-    threads = [threading.Thread(target=work) for _ in range(16)]
+    threads = [threading.Thread(target=send_requests) for _ in range(16)]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -85,8 +90,12 @@
     return histogram
 
 
-def latency() -> dict[str, float]:
-    """Measure what entry and sidecar add to a call, both ways in turn in one run."""
+def measure_latency() -> dict[str, float]:
+    """
+    Measure the latency that entry and sidecar add to a call.
+
+    Direct and routed calls are measured alternately within one run.
+    """
     with Fleet() as fleet:
         fleet.start_platform()
         fleet.start("plain", "standins.plain_service", "--duration", "0.005")
@@ -96,27 +105,33 @@
         fleet.start_sidecar("engine", "d")
         fleet.apply(configuration(["engine"], ["plain"]))
         fleet.wait_ready("entry", ["plain", "engine"])
-        straight, through = HdrHistogram(1, 60_000_000, 3), None
-        through = HdrHistogram(1, 60_000_000, 3)
+        direct_latency, routed_latency = HdrHistogram(1, 60_000_000, 3), None
+        routed_latency = HdrHistogram(1, 60_000_000, 3)
         for _ in range(2):
-            straight.add(open_loop(fleet.url("plain", "/x"), LATENCY_SECONDS / 2))
+            direct_latency.add(
+                measure_open_loop_latency(
+                    fleet.url("plain", "/x"), LATENCY_MEASUREMENT_SECONDS / 2
+                )
+            )
             url = fleet.url("entry", "/services/p/x")
-            through.add(open_loop(url, LATENCY_SECONDS / 2))
-        found = {
+            routed_latency.add(
+                measure_open_loop_latency(url, LATENCY_MEASUREMENT_SECONDS / 2)
+            )
+        measured = {
             "entry_resident_mb": resident_megabytes(entry.popen.pid),
             "sidecar_resident_mb": resident_megabytes(sidecar.popen.pid),
         }
         for quantile in (50, 99):
-            direct = straight.get_value_at_percentile(quantile) / 1000
-            ours = through.get_value_at_percentile(quantile) / 1000
-            found[f"straight_p{quantile}_ms"] = direct
-            found[f"through_p{quantile}_ms"] = ours
-            found[f"added_p{quantile}_ms"] = ours - direct
-        return found
+            direct_ms = direct_latency.get_value_at_percentile(quantile) / 1000
+            routed_ms = routed_latency.get_value_at_percentile(quantile) / 1000
+            measured[f"straight_p{quantile}_ms"] = direct_ms
+            measured[f"through_p{quantile}_ms"] = routed_ms
+            measured[f"added_p{quantile}_ms"] = routed_ms - direct_ms
+        return measured
 
 
-def relay(targets: int, streams: int, tokens: int) -> dict[str, float]:
-    """Measure the tokens that one entry relays, one token a chunk."""
+def measure_relay(targets: int, streams: int, tokens: int) -> dict[str, float]:
+    """Measure the tokens per second that one entry relays, one token per chunk."""
     with Fleet() as fleet:
         fleet.start_platform()
         fleet.settle()
@@ -125,7 +140,7 @@
             entry = fleet.start_entry("entry", "d")
             fleet.apply(configuration(names, []))
             fleet.wait_ready("entry", names)
-            return _measure_relay(entry, streams, tokens)
+            return _measure_streams(entry, streams, tokens)
         finally:
             for source in sources:
                 source.kill()
@@ -135,11 +150,17 @@
 def start_sources(
     fleet: Fleet, targets: int, heartbeat: float = 3.0
 ) -> tuple[list[subprocess.Popen[str]], list[str]]:
-    """Start stepping targets in few processes and put them on the list."""
+    """
+    Start simulated targets in a few processes and register them.
+
+    :param targets: number of targets.
+    :param heartbeat: interval of their heartbeats in seconds.
+    :returns: the processes, and the names of the targets.
+    """
     sources, names = [], []
-    share = -(-targets // SOURCES)
-    for number in range(SOURCES):
-        count = min(share, targets - number * share)
+    targets_per_process = -(-targets // SOURCE_PROCESSES)
+    for number in range(SOURCE_PROCESSES):
+        count = min(targets_per_process, targets - number * targets_per_process)
         if count <= 0:
             break
         addresses = [f"127.0.0.1:{free_port()}" for _ in range(count)]
@@ -168,7 +189,7 @@
 
 
 def register(fleet: Fleet, name: str, address: str) -> None:
-    """Put a target's sidecar on the list of instances."""
+    """Register a target's sidecar in the list of instances."""
     host, _, port = address.rpartition(":")
     body = {
         "ID": f"sidecar-{name}",
@@ -181,7 +202,7 @@
     call(url, "PUT", body)
 
 
-def _measure_relay(entry: Any, streams: int, tokens: int) -> dict[str, float]:
+def _measure_streams(entry: Any, streams: int, tokens: int) -> dict[str, float]:
     callers = [
         subprocess.Popen(
             [
@@ -191,18 +212,18 @@
                 entry.address,
                 str(streams // 2),
                 str(tokens),
-                str(RELAY_SECONDS),
+                str(RELAY_MEASUREMENT_SECONDS),
             ],
             stdout=subprocess.PIPE,
             text=True,
         )
         for _ in range(2)
     ]
-    time.sleep(RELAY_SECONDS / 2 + 1)
-    before, start = processor_seconds(entry.popen.pid), time.monotonic()
-    time.sleep(RELAY_SECONDS / 2)
-    used = processor_seconds(entry.popen.pid) - before
-    core = used / (time.monotonic() - start)
+    time.sleep(RELAY_MEASUREMENT_SECONDS / 2 + 1)
+    cpu_before, start = processor_seconds(entry.popen.pid), time.monotonic()
+    time.sleep(RELAY_MEASUREMENT_SECONDS / 2)
+    cpu_used = processor_seconds(entry.popen.pid) - cpu_before
+    core = cpu_used / (time.monotonic() - start)
     results = [json.loads(caller.communicate()[0]) for caller in callers]
     rate = sum(result["tokens_per_second"] for result in results)
     return {
@@ -216,11 +237,11 @@
 
 
 def main() -> None:
-    """Print all measurements as JSON."""
-    print(json.dumps({"latency": latency()}, indent=2))
+    """Run all measurements and print them as JSON."""
+    print(json.dumps({"latency": measure_latency()}, indent=2))
     for targets, streams in ((8, 400), (8, 1200), (96, 1200), (355, 1200)):
-        found = {"targets": targets, **relay(targets, streams, 290)}
-        print(json.dumps({"relay": found}, indent=2), flush=True)
+        measured = {"targets": targets, **measure_relay(targets, streams, 290)}
+        print(json.dumps({"relay": measured}, indent=2), flush=True)
 
 
 if __name__ == "__main__":
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,4 +1,4 @@
-"""Measures slopes: what grows with targets, entries and instances, and how fast."""
+"""Measures how CPU, memory, traffic and latency grow with targets and entries."""
 
 from __future__ import annotations
 
@@ -38,19 +38,25 @@
 )
 from tools.fleet import SHARED_KEY, Fleet, call, wait_until
 
-TARGETS = (16, 64, 256, 1024)
-ENTRIES = (4, 16, 64, 256)
-POOLS = (89, 355, 1420, 11_000)
-WINDOW = 6.0
-HEADERS = 66
+TARGET_COUNTS = (16, 64, 256, 1024)
+ENTRY_COUNTS = (4, 16, 64, 256)
+POOL_SIZES = (89, 355, 1420, 11_000)
+MEASUREMENT_SECONDS = 6.0
+HEADER_BYTES = 66
 REPEATS = 300
 
 
 class Slope(NamedTuple):
     """
-    A straight line through measured points.
-
-    :ivar residual: largest distance of a point from the line, as a share of it.
+    A line fitted to measured points.
+
+    :ivar what: the measured quantity.
+    :ivar unit: unit of that quantity.
+    :ivar points: pairs of a count and the value measured at it.
+    :ivar intercept: value of the line at a count of 0.
+    :ivar slope: increase per unit of count.
+    :ivar residual: largest distance of a point from the line, as a share of the
+        point's value.
     """
 
     what: str
@@ -60,26 +66,30 @@
     slope: float
     residual: float
 
-    def at(self, count: int) -> float:
-        """Work the line out for a count."""
+    def value_at(self, count: int) -> float:
+        """Return the value of the line at a count."""
         return self.intercept + self.slope * count
 
 
-def fit(what: str, unit: str, points: list[tuple[int, float]]) -> Slope:
-    """Fit a line; every point weighs by its share, not by its size."""
+def fit_line(what: str, unit: str, points: list[tuple[int, float]]) -> Slope:
+    """
+    Fit a line that minimises relative errors.
+
+    Weights are the inverse of the values, so that large values do not dominate.
+    """
     counts = numpy.array([count for count, _ in points], dtype=float)
     values = numpy.array([value for _, value in points])
     weights = 1 / numpy.maximum(numpy.abs(values), 1e-9)
     slope, intercept = numpy.polyfit(counts, values, 1, w=weights)
-    line = intercept + slope * counts
-    residual = float(numpy.max(numpy.abs(values - line) * weights))
+    fitted = intercept + slope * counts
+    residual = float(numpy.max(numpy.abs(values - fitted) * weights))
     return Slope(what, unit, points, float(intercept), float(slope), residual)
 
 
-def entry_against_targets() -> list[Slope]:
-    """Measure an idle entry's control work against N sidecars."""
-    cores, memory, ready = [], [], []
-    for count in TARGETS:
+def measure_entry_by_targets() -> list[Slope]:
+    """Measure CPU, memory and startup time of an idle entry linked to N sidecars."""
+    cpu_percents, memory_mb, ready_seconds = [], [], []
+    for count in TARGET_COUNTS:
         with Fleet() as fleet:
             fleet.start_platform()
             fleet.settle()
@@ -87,50 +97,50 @@
             try:
                 fleet.apply(configuration(names, []))
                 start = time.monotonic()
-                links = {"most_links": max(TARGETS)}
+                links = {"most_links": max(TARGET_COUNTS)}
                 entry = fleet.start_entry("entry", "d", links=links)
                 fleet.wait_ready("entry", names)
-                ready.append((count, time.monotonic() - start))
+                ready_seconds.append((count, time.monotonic() - start))
                 time.sleep(1.0)
-                cores.append((count, _core_share(entry.popen.pid) * 100))
-                memory.append((count, resident_megabytes(entry.popen.pid)))
+                cpu_percents.append((count, _core_share(entry.popen.pid) * 100))
+                memory_mb.append((count, resident_megabytes(entry.popen.pid)))
             finally:
-                _end(sources)
+                _kill_all(sources)
     return [
-        fit("entry: processor, idle links", "% of a core", cores),
-        fit("entry: resident memory", "MB", memory),
-        fit("entry: start until all links are up", "s", ready),
+        fit_line("entry: processor, idle links", "% of a core", cpu_percents),
+        fit_line("entry: resident memory", "MB", memory_mb),
+        fit_line("entry: start until all links are up", "s", ready_seconds),
     ]
 
 
-def sidecar_against_entries() -> list[Slope]:
-    """Measure an idle sidecar's control work against N entries."""
-    cores, memory = [], []
-    for count in ENTRIES:
+def measure_sidecar_by_entries() -> list[Slope]:
+    """Measure CPU and memory of an idle sidecar linked to N entries."""
+    cpu_percents, memory_mb = [], []
+    for count in ENTRY_COUNTS:
         with Fleet() as fleet:
             fleet.start_platform()
             fleet.start("target", "standins.plain_service")
             sidecar = fleet.start_sidecar("target", "d", links={})
             fleet.settle()
             command = [sys.executable, "-m", "tools.fakeentries", SHARED_KEY]
-            fakes = subprocess.Popen(
+            fake_entries = subprocess.Popen(
                 [*command, sidecar.address, str(count)],
                 stdout=subprocess.PIPE,
                 text=True,
             )
-            assert fakes.stdout is not None
-            fakes.stdout.readline()
-            cores.append((count, _core_share(sidecar.popen.pid) * 100))
-            memory.append((count, resident_megabytes(sidecar.popen.pid)))
-            _end([fakes])
+            assert fake_entries.stdout is not None
+            fake_entries.stdout.readline()
+            cpu_percents.append((count, _core_share(sidecar.popen.pid) * 100))
+            memory_mb.append((count, resident_megabytes(sidecar.popen.pid)))
+            _kill_all([fake_entries])
     return [
-        fit("sidecar: processor, idle links", "% of a core", cores),
-        fit("sidecar: resident memory", "MB", memory),
+        fit_line("sidecar: processor, idle links", "% of a core", cpu_percents),
+        fit_line("sidecar: resident memory", "MB", memory_mb),
     ]
 
 
-def service_calls() -> list[Slope]:
-    """Count the calls of N idle entries to the key-value service."""
+def measure_key_value_calls() -> list[Slope]:
+    """Measure the rate at which N idle entries call the key-value service."""
     points = []
     for count in (1, 2, 4, 8):
         with Fleet() as fleet:
@@ -145,44 +155,46 @@
             fleet.settle()
             time.sleep(3.0)
             before = sum(call(fleet.url("key_value", "/calls")).json.values())
-            time.sleep(WINDOW)
+            time.sleep(MEASUREMENT_SECONDS)
             after = sum(call(fleet.url("key_value", "/calls")).json.values())
-            points.append((count, (after - before) / WINDOW))
-    return [fit("key-value service: calls of idle entries", "calls/s", points)]
+            points.append((count, (after - before) / MEASUREMENT_SECONDS))
+    return [fit_line("key-value service: calls of idle entries", "calls/s", points)]
 
 
-def routing() -> list[Slope]:
-    """Time one routing decision over N targets of one data centre."""
+def measure_routing() -> list[Slope]:
+    """Measure the time of one routing decision over N targets of one data centre."""
     points = []
     settings = RoutingSettings()
-    for count in POOLS:
+    for count in POOL_SIZES:
         pool = _pool(count)
         policy = PredictedWork(settings, "d", PrefixMemory(1000), Random(1))
         request = _request()
-        took = _median_microseconds(partial(policy.choose, request, pool, [], 1.0))
-        points.append((count, took))
-    return [fit("routing: one decision", "us", points)]
+        microseconds = _median_microseconds(
+            partial(policy.choose, request, pool, [], 1.0)
+        )
+        points.append((count, microseconds))
+    return [fit_line("routing: one decision", "us", points)]
 
 
-def planning() -> list[Slope]:
-    """Time one look of the planner at N targets, and size the plan."""
+def measure_planning() -> list[Slope]:
+    """Measure the time to plan a group of N targets, and the size of the plan."""
     times, sizes = [], []
     for count in (100, 400, 1600):
         names = [f"engine-{number}" for number in range(count)]
         views = [TargetView(name, True, "mixed", 0, 3, 0, 100) for name in names]
         policy = MixRoles(PlannerSettings(), ManualTimers())
-        accepted = _checked(names)
-        look = partial(_look, policy, names, views, accepted)
-        times.append((count, _median_microseconds(look) / 1000))
-        sizes.append((count, len(msgspec.json.encode(look())) / 1000))
+        accepted = _validated_configuration(names)
+        plan_once = partial(_plan_group, policy, names, views, accepted)
+        times.append((count, _median_microseconds(plan_once) / 1000))
+        sizes.append((count, len(msgspec.json.encode(plan_once())) / 1000))
     return [
-        fit("planner: one look at a group", "ms", times),
-        fit("plan: stored size", "KB", sizes),
+        fit_line("planner: one look at a group", "ms", times),
+        fit_line("plan: stored size", "KB", sizes),
     ]
 
 
-def adopting() -> list[Slope]:
-    """Size a configuration of N targets and time its adoption."""
+def measure_adoption() -> list[Slope]:
+    """Measure the size of a configuration of N targets, and the time to adopt it."""
     sizes, times = [], []
     for count in (100, 1000, 11_000):
         names = [f"engine-{number}" for number in range(count)]
@@ -191,20 +203,20 @@
             change_id="x",
             author="x",
             applied_at="x",
-            configuration=_checked(names),
+            configuration=_validated_configuration(names),
         )
         data = msgspec.json.encode(accepted)
         sizes.append((count, len(data) / 1000))
-        took = _median_microseconds(partial(_adopt, data), 10)
-        times.append((count, took / 1000))
+        microseconds = _median_microseconds(partial(_adopt_configuration, data), 10)
+        times.append((count, microseconds / 1000))
     return [
-        fit("configuration: size", "KB", sizes),
-        fit("configuration: adoption", "ms", times),
+        fit_line("configuration: size", "KB", sizes),
+        fit_line("configuration: adoption", "ms", times),
     ]
 
 
-def propagation() -> list[Slope]:
-    """Time a configuration change from the first process in force to the last."""
+def measure_propagation() -> list[Slope]:
+    """Measure the time between the first and the last process to adopt a change."""
     points = []
     for count in (4, 16, 32):
         with Fleet() as fleet:
@@ -223,26 +235,26 @@
                 fleet.wait_ready(name, names)
             document["work"]["w"]["priority"] = 1
             fleet.apply(document)
-            wanted = count + 2
-            wait_until(lambda fleet=fleet, n=wanted: len(_adoptions(fleet)) == n)
-            adopted = _adoptions(fleet)
-            points.append((wanted, max(adopted) - min(adopted)))
-    return [fit("configuration change: first to last process", "s", points)]
+            process_count = count + 2
+            wait_until(lambda fleet=fleet, n=process_count: len(_adoptions(fleet)) == n)
+            adoption_times = _adoptions(fleet)
+            points.append((process_count, max(adoption_times) - min(adoption_times)))
+    return [fit_line("configuration change: first to last process", "s", points)]
 
 
 def _adoptions(fleet: Fleet) -> list[float]:
-    """Read from the logs when each process put version 2 into force."""
-    moments = []
+    """Read from the logs when each process adopted version 2 of the configuration."""
+    times = []
     for process in fleet.processes_by_name.values():
         for line in process.log_path.read_text().splitlines():
             if '"version": 2, "event": "configuration_adopted"' in line:
-                stamp = json.loads(line)["timestamp"]
-                moments.append(datetime.fromisoformat(stamp).timestamp())
-    return moments
+                timestamp = json.loads(line)["timestamp"]
+                times.append(datetime.fromisoformat(timestamp).timestamp())
+    return times
 
 
-def message_bytes() -> dict[str, int]:
-    """Size the messages of idle links, with frame and TCP/IP headers."""
+def message_sizes() -> dict[str, int]:
+    """Return the sizes of the messages on idle links, with frame and TCP/IP headers."""
     load = link_pb2.Load(
         running=20,
         waiting=3,
@@ -257,31 +269,31 @@
         long_prefill_asked=10**9,
     )
     report = link_pb2.SidecarMessage(load=load)
-    beat = link_pb2.EntryMessage(heartbeat=link_pb2.Heartbeat())
+    heartbeat = link_pb2.EntryMessage(heartbeat=link_pb2.Heartbeat())
     return {
-        "load report": len(report.SerializeToString()) + 4 + HEADERS,
-        "heartbeat": len(beat.SerializeToString()) + 4 + HEADERS,
+        "load report": len(report.SerializeToString()) + 4 + HEADER_BYTES,
+        "heartbeat": len(heartbeat.SerializeToString()) + 4 + HEADER_BYTES,
     }
 
 
-def _look(
+def _plan_group(
     policy: MixRoles,
     names: list[str],
     views: list[TargetView],
     accepted: Configuration,
 ) -> Plan:
-    """Do what a planner does at one look at one group."""
+    """Compute the plan of one group, as the planner does in each round."""
     configured: dict[str, Role] = dict.fromkeys(names, "mixed")
     roles = policy.choose(Group("m", "r"), configured, configured, views)
-    wanted = {name: wanted_of(accepted, "m", roles[name]) for name in names}
-    return NO_PLAN.changed("me", 1, wanted)
+    desired = {name: wanted_of(accepted, "m", roles[name]) for name in names}
+    return NO_PLAN.changed("me", 1, desired)
 
 
-def _adopt(data: bytes) -> bool:
+def _adopt_configuration(data: bytes) -> bool:
     return Adoption(Log()).offer(data)
 
 
-def _checked(names: list[str]) -> Configuration:
+def _validated_configuration(names: list[str]) -> Configuration:
     return check(configuration(names, [])).unwrap()
 
 
@@ -318,39 +330,39 @@
     )
 
 
-def _median_microseconds(work: Callable[[], Any], repeats: int = REPEATS) -> float:
+def _median_microseconds(function: Callable[[], Any], repeats: int = REPEATS) -> float:
     times = []
     for _ in range(repeats):
         start = time.perf_counter()
-        work()
+        function()
         times.append((time.perf_counter() - start) * 1e6)
     return statistics.median(times)
 
 
 def _core_share(pid: int) -> float:
     before, start = processor_seconds(pid), time.monotonic()
-    time.sleep(WINDOW)
+    time.sleep(MEASUREMENT_SECONDS)
     return (processor_seconds(pid) - before) / (time.monotonic() - start)
 
 
-def _end(processes: list[subprocess.Popen[str]]) -> None:
+def _kill_all(processes: list[subprocess.Popen[str]]) -> None:
     for process in processes:
         process.kill()
         process.wait()
 
 
 def main() -> None:
-    """Print every slope; write them to the file that is named, if any."""
-    parts = (
-        routing,
-        planning,
-        adopting,
-        propagation,
-        service_calls,
-        sidecar_against_entries,
-        entry_against_targets,
+    """Print all fitted lines; also write them to the file given as argument, if any."""
+    measurements = (
+        measure_routing,
+        measure_planning,
+        measure_adoption,
+        measure_propagation,
+        measure_key_value_calls,
+        measure_sidecar_by_entries,
+        measure_entry_by_targets,
     )
-    slopes = [slope for part in parts for slope in part()]
+    slopes = [slope for measure in measurements for slope in measure()]
     print("| what | unit | points | intercept | slope | residual |")
     print("|---|---|---|---|---|---|")
     for slope in slopes:
@@ -359,10 +371,10 @@
             f"| {slope.what} | {slope.unit} | {points} | {slope.intercept:.3g} "
             f"| {slope.slope:.3g} | {slope.residual:.0%} |"
         )
-    print(json.dumps(message_bytes()))
+    print(json.dumps(message_sizes()))
     if len(sys.argv) > 1:
-        found = [slope._asdict() for slope in slopes]
-        Path(sys.argv[1]).write_text(json.dumps(found))
+        documents = [slope._asdict() for slope in slopes]
+        Path(sys.argv[1]).write_text(json.dumps(documents))
 
 
 if __name__ == "__main__":
--- a/tools/experiment.py
+++ b/tools/experiment.py
@@ -1,4 +1,4 @@
-"""Runs policies against seeded traces on real processes and reports goodput."""
+"""Replays seeded traces under each policy on real processes and reports goodput."""
 
 from __future__ import annotations
 
@@ -19,8 +19,10 @@
 from tools.sites import site_configuration, start_targets
 from tools.traces import SITES, make_trace, save
 
-FIRST_TARGET = 1.0
-GAP_TARGET = 0.036
+# Latency targets of a good answer in seconds: time to its first token, and the 95th
+# percentile of the gaps between its tokens.
+FIRST_TOKEN_TARGET = 1.0
+TOKEN_GAP_TARGET = 0.036
 POLICIES: dict[str, dict[str, Any]] = {
     "round_robin": {"routing": {"policy": "round_robin"}},
     "least_in_flight": {"routing": {"policy": "least_in_flight"}},
@@ -32,7 +34,7 @@
     "current": {"planner": {"policy": "mix"}},
     "foresight": {"planner": {"policy": "fixed"}},
 }
-# What operators configure under each policy; engines start in that role.
+# Role in which engines are configured and started under a policy; default ``mixed``.
 ROLE_BY_POLICY = {"current": "decode", "foresight": "decode"}
 FAULTS: dict[str, Callable[[Fleet], None]] = {
     "engine_crash": lambda fleet: fleet.processes_by_name[first_engine(fleet)].kill(),
@@ -40,13 +42,13 @@
     "outage": lambda fleet: _outage(fleet),
     "drain": lambda fleet: _drain(fleet),
 }
-FAULT_AT = 9.0
-ORDER_SECONDS = 3.0
-FORESEEN_READERS = 2
+FAULT_AT_SECONDS = 9.0
+ROLE_CHANGE_SECONDS = 3.0
+FORESIGHT_PREFILL_ENGINES = 2
 
 
 def first_engine(fleet: Fleet) -> str:
-    """Name an engine."""
+    """Return the name of the first engine."""
     names = (name for name in fleet.processes_by_name if name.endswith("-1"))
     return next(name for name in names if not name.startswith(("entry", "sidecar")))
 
@@ -64,50 +66,54 @@
     site: str, policy: str, seed: int, fault: str | None = None, lag: float = 1.0
 ) -> dict[str, Any]:
     """
-    Play one trace under one policy.
+    Replay one trace under one policy.
 
-    :param site: whose work.
+    :param site: a key of ``SITES``.
     :param policy: a key of ``POLICIES``.
-    :param seed: of the trace.
+    :param seed: seed of the trace.
     :param fault: a key of ``FAULTS``, or ``None``.
-    :param lag: seconds by which engines report late.
+    :param lag: delay of the engines' load reports in seconds.
+    :returns: the report of :func:`summarize_run`, with the number and cost of role
+        changes.
     """
     configuration = site_configuration(site)
-    model_only = _models_only(configuration)
+    model_configuration = _models_only(configuration)
     role = ROLE_BY_POLICY.get(policy, "mixed")
-    for target in model_only["targets"].values():
+    for target in model_configuration["targets"].values():
         target["role"] = role
     if policy == "foresight":
-        # The roles that the trace's swings need, from the start: what could be done
-        # with the mix known in advance.
-        for name in list(model_only["targets"])[:FORESEEN_READERS]:
-            model_only["targets"][name]["role"] = "prefill"
+        # Shows what is achievable if the mix is known in advance: engines have the
+        # roles that the trace's swings need from the start.
+        for name in list(model_configuration["targets"])[:FORESIGHT_PREFILL_ENGINES]:
+            model_configuration["targets"][name]["role"] = "prefill"
     with Fleet() as fleet:
         fleet.start_platform()
         targets = start_targets(
             fleet,
-            model_only,
+            model_configuration,
             *("--cache-blocks", "500", "--load-lag", str(lag), "--role", role),
         )
-        data_centres = list(model_only["data_centres"])
+        data_centres = list(model_configuration["data_centres"])
         entries = ["entry-1", "entry-2"]
         for name, data_centre in zip(entries, data_centres, strict=False):
             fleet.start_entry(name, data_centre, **POLICIES[policy])
-        fleet.apply(model_only)
+        fleet.apply(model_configuration)
         for name in entries:
             fleet.wait_ready(name, targets)
         _wait_settled(fleet, targets)
         if policy == "foresight":
-            _wait_foreseen(fleet, targets)
-        before = sum(_engine_facts(fleet, name)["changes"] for name in targets)
-        model = next(iter(model_only["models"]))
-        results = _play(fleet, site, seed, model, entries, fault)
-        engines = [_engine_facts(fleet, name) for name in targets]
-    report = judge(results)
-    changes = sum(facts["changes"] for facts in engines) - before
+            _wait_foresight_roles(fleet, targets)
+        changes_before = sum(
+            _engine_counters(fleet, name)["changes"] for name in targets
+        )
+        model = next(iter(model_configuration["models"]))
+        results = _replay_trace(fleet, site, seed, model, entries, fault)
+        engines = [_engine_counters(fleet, name) for name in targets]
+    report = summarize_run(results)
+    changes = sum(counters["changes"] for counters in engines) - changes_before
     report["role_changes"] = changes
-    report["engine_seconds_lost"] = changes * ORDER_SECONDS
-    report["cut_off"] = sum(facts["cut_off"] for facts in engines)
+    report["engine_seconds_lost"] = changes * ROLE_CHANGE_SECONDS
+    report["cut_off"] = sum(counters["cut_off"] for counters in engines)
     return report
 
 
@@ -129,94 +135,102 @@
 
 
 def _wait_settled(fleet: Fleet, targets: list[str]) -> None:
-    """Wait until no engine is under an order that only the start brought."""
+    """Wait until no engine executes an order that was issued at startup."""
     time.sleep(1.5)
     for name in targets:
         while call(fleet.url(name, "/state")).json["ordering"] is not None:
             time.sleep(0.1)
 
 
-def _wait_foreseen(fleet: Fleet, targets: list[str]) -> None:
-    """Wait until the foreseen roles are taken, before the trace begins."""
+def _wait_foresight_roles(fleet: Fleet, targets: list[str]) -> None:
+    """Wait until the prefill engines of the foresight policy have their role."""
 
-    def is_taken() -> bool:
+    def has_roles() -> bool:
         return all(
             call(fleet.url(name, "/state")).json["role"] == "prefill"
-            for name in targets[:FORESEEN_READERS]
+            for name in targets[:FORESIGHT_PREFILL_ENGINES]
         )
 
-    wait_until(is_taken, within=30.0, what="the foreseen roles")
+    wait_until(has_roles, within=30.0, what="the foreseen roles")
 
 
-def _play(
+def _replay_trace(
     fleet: Fleet, site: str, seed: int, model: str, entries: list[str], fault: Any
 ) -> list[dict[str, Any]]:
-    trace = fleet.folder / "trace.json"
-    out = fleet.folder / "results.json"
-    trace.write_text(save(make_trace(site, seed)))
+    trace_path = fleet.folder / "trace.json"
+    results_path = fleet.folder / "results.json"
+    trace_path.write_text(save(make_trace(site, seed)))
     addresses = [fleet.address(name) for name in entries]
-    command = [sys.executable, "-m", "tools.openloop", str(trace), model, str(out)]
-    player = subprocess.Popen([*command, *addresses])
-    timer = threading.Timer(FAULT_AT, lambda: FAULTS[fault](fleet))
+    command = [
+        sys.executable,
+        "-m",
+        "tools.openloop",
+        str(trace_path),
+        model,
+        str(results_path),
+    ]
+    replayer = subprocess.Popen([*command, *addresses])
+    timer = threading.Timer(FAULT_AT_SECONDS, lambda: FAULTS[fault](fleet))
     if fault is not None:
         timer.start()
-    player.wait()
+    replayer.wait()
     timer.cancel()
-    results: list[dict[str, Any]] = json.loads(out.read_text())
+    results: list[dict[str, Any]] = json.loads(results_path.read_text())
     return results
 
 
-def _engine_facts(fleet: Fleet, name: str) -> dict[str, Any]:
+def _engine_counters(fleet: Fleet, name: str) -> dict[str, Any]:
     if not fleet.processes_by_name[name].is_running:
         return {"changes": 0, "cut_off": 0}
     state = call(fleet.url(name, "/state")).json
     return {"changes": len(state["orders_done"]), "cut_off": state["cut_off"]}
 
 
-def judge(results: list[dict[str, Any]]) -> dict[str, Any]:
+def summarize_run(results: list[dict[str, Any]]) -> dict[str, Any]:
     """
-    Sum a run up.
+    Summarize a run.
 
-    :param results: of each request.
-    :returns: goodput by kind of work and where the lost answers went.
+    :param results: results of all requests, as ``tools.openloop`` writes them.
+    :returns: for each kind of work its goodput and the failures by cause; and the
+        fairness among callers.
     """
     report: dict[str, Any] = {"requests": len(results), "work": {}}
     for work in sorted({result["work"] for result in results}):
-        chosen = [result for result in results if result["work"] == work]
-        report["work"][work] = _judge_work(chosen)
+        work_results = [result for result in results if result["work"] == work]
+        report["work"][work] = _summarize_work(work_results)
     report["fairness"] = _fairness(results)
     return report
 
 
-def _judge_work(results: list[dict[str, Any]]) -> dict[str, Any]:
-    first = HdrHistogram(1, 60_000_000, 2)
-    gap = HdrHistogram(1, 60_000_000, 2)
+def _summarize_work(results: list[dict[str, Any]]) -> dict[str, Any]:
+    first_token_histogram = HdrHistogram(1, 60_000_000, 2)
+    gap_histogram = HdrHistogram(1, 60_000_000, 2)
     counts = dict.fromkeys(
         ("good", "refused", "broken", "late_first", "slow_tokens", "both"), 0
     )
     for result in results:
-        counts[_verdict(result)] += 1
+        counts[_classify(result)] += 1
         if result["first"] is not None:
-            first.record_value(max(1, int(result["first"] * 1e6)))
-            gap.record_value(max(1, int(result["gap_p95"] * 1e6)))
+            first_token_histogram.record_value(max(1, int(result["first"] * 1e6)))
+            gap_histogram.record_value(max(1, int(result["gap_p95"] * 1e6)))
     return {
         "requests": len(results),
         "goodput": counts["good"] / len(results),
         **counts,
-        "first_p50_ms": first.get_value_at_percentile(50) / 1000,
-        "first_p95_ms": first.get_value_at_percentile(95) / 1000,
-        "gap_p50_ms": gap.get_value_at_percentile(50) / 1000,
-        "gap_p95_ms": gap.get_value_at_percentile(95) / 1000,
+        "first_p50_ms": first_token_histogram.get_value_at_percentile(50) / 1000,
+        "first_p95_ms": first_token_histogram.get_value_at_percentile(95) / 1000,
+        "gap_p50_ms": gap_histogram.get_value_at_percentile(50) / 1000,
+        "gap_p95_ms": gap_histogram.get_value_at_percentile(95) / 1000,
     }
 
 
-def _verdict(result: dict[str, Any]) -> str:
+def _classify(result: dict[str, Any]) -> str:
     if result["status"] != 200:
         return "refused"
     if not result["is_whole"]:
         return "broken"
-    is_late = result["first"] > FIRST_TARGET
-    is_slow = result["gap_p95"] > GAP_TARGET
+    is_late = result["first"] > FIRST_TOKEN_TARGET
+    is_slow = result["gap_p95"] > TOKEN_GAP_TARGET
     if is_late and is_slow:
         return "both"
     if is_late:
@@ -225,17 +239,20 @@
 
 
 def _fairness(results: list[dict[str, Any]]) -> float:
-    """Compute Jain's index over the callers' shares of good answers."""
+    """Compute Jain's fairness index over the callers' shares of good answers."""
     shares = []
     for caller in {result["caller"] for result in results}:
-        own = [result for result in results if result["caller"] == caller]
-        shares.append(sum(_verdict(result) == "good" for result in own) / len(own))
+        caller_results = [result for result in results if result["caller"] == caller]
+        shares.append(
+            sum(_classify(result) == "good" for result in caller_results)
+            / len(caller_results)
+        )
     squares = sum(share**2 for share in shares)
     return sum(shares) ** 2 / (len(shares) * squares) if squares else 0.0
 
 
-def summarise(runs: list[dict[str, Any]], work: str) -> dict[str, Any]:
-    """Give mean and spread over seeds."""
+def summarize_seeds(runs: list[dict[str, Any]], work: str) -> dict[str, Any]:
+    """Summarize the runs of one policy over all seeds, for one kind of work."""
     goodput = [run["work"][work]["goodput"] for run in runs]
     return {
         "goodput_mean": round(statistics.mean(goodput), 4),
@@ -252,7 +269,7 @@
 
 
 def main() -> None:
-    """Run policies in turn, seed by seed, and print the summary as JSON."""
+    """Run every policy with each seed, and print the summary as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--site", default="jentera-lindung", choices=SITES)
     parser.add_argument("--policies", default=",".join(POLICIES))
@@ -264,12 +281,18 @@
     runs: dict[str, list[dict[str, Any]]] = {}
     for seed in range(options.seeds):
         for policy in options.policies.split(","):
-            found = run_once(options.site, policy, seed, options.fault, options.lag)
-            runs.setdefault(policy, []).append(found)
-            brief = {name: work["goodput"] for name, work in found["work"].items()}
-            print(seed, policy, brief, found["role_changes"], file=sys.stderr)
+            report = run_once(options.site, policy, seed, options.fault, options.lag)
+            runs.setdefault(policy, []).append(report)
+            goodput_by_work = {
+                name: work["goodput"] for name, work in report["work"].items()
+            }
+            print(
+                seed, policy, goodput_by_work, report["role_changes"], file=sys.stderr
+            )
     work = SITES[options.site].short_work
-    summary = {policy: summarise(found, work) for policy, found in runs.items()}
+    summary = {
+        policy: summarize_seeds(reports, work) for policy, reports in runs.items()
+    }
     print(json.dumps(summary, indent=2))
     if options.out:
         Path(options.out).write_text(json.dumps({"summary": summary, "runs": runs}))
--- a/tools/relay.py
+++ b/tools/relay.py
@@ -1,4 +1,8 @@
-"""A small TCP relay that can be cut: what is sent then goes nowhere."""
+"""
+TCP relay for fault injection: while it is cut, it forwards nothing.
+
+Connections stay open during a cut, as they do when a network drops packets.
+"""
 
 from __future__ import annotations
 
@@ -10,113 +14,125 @@
 from tools.fleet import call
 
 
-class _Side(Protocol):
-    """One side of a relayed connection."""
+class _RelayedConnection(Protocol):
+    """One of the two connections of a relayed pair."""
 
     transport: Any
 
     def __init__(self, relay: Relay) -> None:
         self._relay = relay
-        self._early: list[bytes] = []
-        self.other: _Side | None = None
+        self._buffered: list[bytes] = []
+        self.peer: _RelayedConnection | None = None
 
     def connectionMade(self) -> None:  # noqa: N802
-        self._relay.sides.add(self)
-        if self.other is not None:
-            self.other.pass_early(self)
+        self._relay.connections.add(self)
+        if self.peer is not None:
+            self.peer.attach_peer(self)
 
-    def pass_early(self, other: _Side) -> None:
-        """Pass on what came before the other side was there."""
-        self.other = other
-        for data in self._early:
-            other.write(data)
+    def attach_peer(self, peer: _RelayedConnection) -> None:
+        """Set the peer and send it the data received before it was connected."""
+        self.peer = peer
+        for data in self._buffered:
+            peer.write(data)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         if self._relay.is_cut:
-            self._relay.held.append((self, data))
-        elif self.other is None:
-            self._early.append(data)
+            self._relay.withheld.append((self, data))
+        elif self.peer is None:
+            self._buffered.append(data)
         else:
-            self.other.write(data)
+            self.peer.write(data)
 
     def write(self, data: bytes) -> None:
         self.transport.write(data)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
-        self._relay.sides.discard(self)
-        if self.other is not None and not self._relay.is_cut:
-            self.other.transport.loseConnection()
+        self._relay.connections.discard(self)
+        if self.peer is not None and not self._relay.is_cut:
+            self.peer.transport.loseConnection()
 
 
-class _Out(ClientFactory):
-    """Makes the connection that a taken one is relayed to."""
+class _UpstreamFactory(ClientFactory):
+    """Creates the connection to the destination for an accepted connection."""
 
     noisy = False
 
-    def __init__(self, relay: Relay, taken: _Side) -> None:
+    def __init__(self, relay: Relay, accepted: _RelayedConnection) -> None:
         self._relay = relay
-        self._taken = taken
+        self._accepted = accepted
 
-    def buildProtocol(self, addr: Any) -> _Side:  # noqa: N802
-        side = _Side(self._relay)
-        side.other = self._taken
-        return side
+    def buildProtocol(self, addr: Any) -> _RelayedConnection:  # noqa: N802
+        connection = _RelayedConnection(self._relay)
+        connection.peer = self._accepted
+        return connection
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:  # noqa: N802
-        self._taken.transport.loseConnection()
+        self._accepted.transport.loseConnection()
 
 
 class Relay(Factory):
-    """Takes connections and relays them to one address."""
+    """Accepts connections and relays them to one address."""
 
     noisy = False
 
-    def __init__(self, to: str) -> None:
-        """Relay to ``to``."""
-        host, _, port = to.rpartition(":")
+    def __init__(self, destination: str) -> None:
+        """
+        Create a relay that is not cut.
+
+        :param destination: address to relay to, as ``host:port``.
+        """
+        host, _, port = destination.rpartition(":")
         self._host, self._port = host, int(port)
         self.is_cut = False
-        self.sides: set[_Side] = set()
-        self.held: list[tuple[_Side, bytes]] = []
+        self.connections: set[_RelayedConnection] = set()
+        self.withheld: list[tuple[_RelayedConnection, bytes]] = []
 
-    def buildProtocol(self, addr: Any) -> _Side:  # noqa: N802
-        """Take a connection."""
-        side = _Side(self)
-        reactor.connectTCP(self._host, self._port, _Out(self, side))
-        return side
+    def buildProtocol(self, addr: Any) -> _RelayedConnection:  # noqa: N802
+        """Accept a connection and connect to the destination."""
+        connection = _RelayedConnection(self)
+        reactor.connectTCP(self._host, self._port, _UpstreamFactory(self, connection))
+        return connection
 
     def cut(self, request: Any) -> None:
-        """Let nothing through, and keep connections open."""
+        """Stop forwarding data, but keep connections open."""
         self.is_cut = True
         answer(request, {})
 
     def heal(self, request: Any) -> None:
-        """Let everything through again; what was sent meanwhile is lost with them."""
+        """
+        Resume forwarding.
+
+        Aborts all connections, since the data sent during the cut is lost.
+        """
         self.is_cut = False
-        self.held.clear()
-        for side in list(self.sides):
-            side.transport.abortConnection()
+        self.withheld.clear()
+        for connection in list(self.connections):
+            connection.transport.abortConnection()
         answer(request, {})
 
 
 class RelayControl:
-    """Cuts and heals a relay that runs as a process."""
+    """Cuts and heals a relay that runs as a separate process."""
 
     def __init__(self, address: str) -> None:
-        """Control the relay whose control address this is."""
+        """
+        Control a relay.
+
+        :param address: control address of the relay, as ``host:port``.
+        """
         self._url = f"http://{address}"
 
     def cut(self) -> None:
-        """Let nothing through."""
+        """Stop forwarding data."""
         call(f"{self._url}/cut", "PUT")
 
     def heal(self) -> None:
-        """Let everything through again."""
+        """Resume forwarding."""
         call(f"{self._url}/heal", "PUT")
 
 
 def main() -> None:
-    """Relay until SIGTERM."""
+    """Run a relay until SIGTERM."""
     options = parse(__doc__ or "", to="", control="")
     relay = Relay(options.to)
     host, _, port = options.listen.rpartition(":")
--- a/tools/sites.py
+++ b/tools/sites.py
@@ -1,4 +1,4 @@
-"""Starts both users' sites on loopback as the examples describe them."""
+"""Starts the sites of the example configurations on loopback addresses."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def site_configuration(site: str) -> dict[str, Any]:
-    """Merge a site's overlay over the base file."""
+    """Return the base configuration merged with a site's overlay."""
     paths = [EXAMPLES / "base.json", EXAMPLES / f"{site}.json"]
     return merge_documents([json.loads(path.read_text()) for path in paths])
 
@@ -22,7 +22,13 @@
 def start_targets(
     fleet: Fleet, configuration: dict[str, Any], *engine_options: str, **extra: Any
 ) -> list[str]:
-    """Start every target of a configuration with its sidecar; return their names."""
+    """
+    Start every target of a configuration with its sidecar.
+
+    :param engine_options: further command line options of each engine.
+    :param extra: further settings of each sidecar.
+    :returns: names of the targets.
+    """
     models = {name: model["version"] for name, model in configuration["models"].items()}
     for service in configuration["services"].values():
         for name in service["targets"]:
--- a/tools/traces.py
+++ b/tools/traces.py
@@ -1,4 +1,9 @@
-"""Seeded traces of both users' work: calm, swing, swing back, call surge."""
+"""
+Seeded request traces of both sites.
+
+Each trace has four phases: calm, a swing from short to long prompts, a swing back, and
+a surge of calls in which both are frequent.
+"""
 
 from __future__ import annotations
 
@@ -7,18 +12,20 @@
 from typing import NamedTuple
 
 CHARACTERS_PER_TOKEN = 4
-SHARED_TOKENS = 4_000
-TEXTS = 8
+SHARED_PREFIX_TOKENS = 4_000
+SHARED_PREFIX_COUNT = 8
 
 
 class Arrival(NamedTuple):
     """
     One request of a trace.
 
-    :ivar at: seconds from the start.
-    :ivar prompt_tokens: length of the prompt.
-    :ivar text: number of the policy or log that the prompt begins with; -1 for none.
-    :ivar tokens: length of the answer.
+    :ivar at: arrival time in seconds since the start of the trace.
+    :ivar work: kind of work, which sets the priority.
+    :ivar prompt_tokens: length of the prompt in tokens.
+    :ivar text: number of the shared document, such as a policy or a log, that the
+        prompt begins with; -1 for none.
+    :ivar tokens: length of the completion in tokens.
     """
 
     at: float
@@ -30,19 +37,29 @@
 
     def prompt(self, number: int) -> str:
         """
-        Write the prompt out.
+        Return the text of the prompt.
 
-        :param number: unique in the trace.
+        :param number: number of the request, unique in the trace.
         """
         length = self.prompt_tokens * CHARACTERS_PER_TOKEN
         if self.text < 0:
             return f"{number} ".ljust(length, "s")
-        shared = f"text {self.text} ".ljust(SHARED_TOKENS * CHARACTERS_PER_TOKEN, "t")
+        shared = f"text {self.text} ".ljust(
+            SHARED_PREFIX_TOKENS * CHARACTERS_PER_TOKEN, "t"
+        )
         return (shared + f"{number} ").ljust(length, "u")
 
 
 class Phase(NamedTuple):
-    """A stretch of a trace; rates in requests a second."""
+    """
+    One phase of a trace.
+
+    :ivar seconds: duration.
+    :ivar short_rate: requests per second that have short prompts.
+    :ivar short_tokens: mean length of their completions in tokens.
+    :ivar long_rate: requests per second that have long prompts.
+    :ivar long_tokens: mean length of their completions in tokens.
+    """
 
     seconds: float
     short_rate: float
@@ -52,7 +69,15 @@
 
 
 class Site(NamedTuple):
-    """What one user's work looks like."""
+    """
+    Workload of one site.
+
+    :ivar short_work: kind of work of requests with short prompts.
+    :ivar long_work: kind of work of requests with long prompts.
+    :ivar low_work: kind of work of low priority, at the same rate in all phases.
+    :ivar low_rate: requests per second of that work.
+    :ivar long_prompt: length of long prompts in tokens.
+    """
 
     short_work: str
     long_work: str
@@ -94,28 +119,32 @@
 
 def make_trace(site: str, seed: int) -> list[Arrival]:
     """
-    Draw a trace.
+    Generate a trace.
 
-    :param site: whose work.
+    :param site: a key of ``SITES``.
     :param seed: the same seed gives the same trace.
-    :returns: by time.
+    :returns: requests ordered by arrival time.
     """
-    described = SITES[site]
+    workload = SITES[site]
     random = Random(f"{site}/{seed}")
     arrivals: list[Arrival] = []
     start = 0.0
-    for phase in described.phases:
+    for phase in workload.phases:
         end = start + phase.seconds
-        streams = (
-            (phase.short_rate, described.short_work, (150, 500), phase.short_tokens),
-            (phase.long_rate, described.long_work, None, phase.long_tokens),
-            (described.low_rate, described.low_work, (1_000, 2_000), 50),
+        request_classes = (
+            (phase.short_rate, workload.short_work, (150, 500), phase.short_tokens),
+            (phase.long_rate, workload.long_work, None, phase.long_tokens),
+            (workload.low_rate, workload.low_work, (1_000, 2_000), 50),
         )
-        for rate, work, prompts, tokens in streams:
+        for rate, work, prompt_range, tokens in request_classes:
             at = start + random.expovariate(rate)
             while at < end:
-                length = random.randint(*prompts) if prompts else described.long_prompt
-                text = -1 if prompts else random.randrange(TEXTS)
+                length = (
+                    random.randint(*prompt_range)
+                    if prompt_range
+                    else workload.long_prompt
+                )
+                text = -1 if prompt_range else random.randrange(SHARED_PREFIX_COUNT)
                 count = max(5, int(random.gauss(tokens, tokens / 5)))
                 caller = f"caller-{random.randrange(12)}"
                 arrivals.append(Arrival(at, work, caller, length, text, count))
@@ -125,10 +154,10 @@
 
 
 def save(arrivals: list[Arrival]) -> str:
-    """Write a trace as JSON."""
+    """Encode a trace as JSON."""
     return json.dumps([list(arrival) for arrival in arrivals])
 
 
 def load(text: str) -> list[Arrival]:
-    """Read a trace."""
+    """Decode a trace from JSON."""
     return [Arrival(*fields) for fields in json.loads(text)]
