--- a/tests/builders.py
+++ b/tests/builders.py
@@ -1,11 +1,11 @@
-"""Compact builders of test data."""
+"""A small site for tests: its configuration and its processes."""
 
 import copy
 from typing import Any
 
 from tools.fleet import Fleet
 
-SMALL: dict[str, Any] = {
+SMALL_SITE: dict[str, Any] = {
     "site": "small",
     "data_centres": {"north": {"region": "east"}, "south": {"region": "east"}},
     "work": {
@@ -36,13 +36,13 @@
         "dispatch-2": {"data_centre": "south"},
     },
 }
-TARGETS = list(SMALL["targets"])
+TARGETS = list(SMALL_SITE["targets"])
 
 
 def start_targets(fleet: Fleet, *engine_options: str) -> None:
-    """Start the platform and every target of the small site with its sidecar."""
+    """Start the platform and each target of the small site with its sidecar."""
     fleet.start_platform()
-    for name, target in SMALL["targets"].items():
+    for name, target in SMALL_SITE["targets"].items():
         if name.startswith("engine"):
             fleet.start(name, "standins.engine", *engine_options)
         else:
@@ -51,4 +51,5 @@
 
 
 def configuration(**changes: Any) -> dict[str, Any]:
-    return {**copy.deepcopy(SMALL), **changes}
+    """Return the configuration of the small site with top-level keys replaced."""
+    return {**copy.deepcopy(SMALL_SITE), **changes}
--- a/tests/faultproxy.py
+++ b/tests/faultproxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback whose connections can be delayed, cut, silenced or reset."""
+"""A TCP proxy on loopback that delays, blocks, refuses or resets connections."""
 
 from typing import Any
 
@@ -7,65 +7,68 @@
 
 from standins.web import Routes, answer, body_of, listen, parse, reactor
 
-GOOD = "good"
+NO_FAULT = "good"
 DELAY = "delay"
 SILENT = "silent"
 NO_REQUESTS = "no_requests"
-NO_ANSWERS = "no_answers"
+NO_RESPONSES = "no_answers"
 REFUSE = "refuse"
-MODES = (DELAY, SILENT, NO_REQUESTS, NO_ANSWERS, REFUSE)
-SECONDS_OF_DELAY = 0.15
+MODES = (DELAY, SILENT, NO_REQUESTS, NO_RESPONSES, REFUSE)
+DELAY_SECONDS = 0.15
 
 
-class Switch:
-    """The fault in force, and the connections it applies to."""
+class FaultState:
+    """The active fault and the open connections that it applies to."""
 
     def __init__(self) -> None:
-        self.mode = GOOD
-        self.sides: set[Side] = set()
+        self.mode = NO_FAULT
+        self.connections: set[ProxiedConnection] = set()
 
-    def passes(self, is_request: bool) -> bool:
+    def is_forwarding(self, is_client_side: bool) -> bool:
+        """Check whether data received on one side is forwarded to the other."""
         if self.mode == SILENT:
             return False
-        return self.mode != (NO_REQUESTS if is_request else NO_ANSWERS)
+        return self.mode != (NO_REQUESTS if is_client_side else NO_RESPONSES)
 
     def reset(self) -> None:
-        for side in list(self.sides):
-            side.transport.abortConnection()
+        """Reset all open connections."""
+        for connection in list(self.connections):
+            connection.transport.abortConnection()
 
 
-class Side(Protocol):
-    """One end of a proxied connection."""
+class ProxiedConnection(Protocol):
+    """The client side or the target side of a proxied connection."""
 
-    def __init__(self, switch: Switch, is_request: bool) -> None:
-        self.switch = switch
-        self.is_request = is_request
+    def __init__(self, state: FaultState, is_client_side: bool) -> None:
+        self.state = state
+        self.is_client_side = is_client_side
         self.peer: Any = None
-        self.waiting: list[bytes] = []
+        self.buffered: list[bytes] = []
 
     def connectionMade(self) -> None:  # noqa: N802
-        self.switch.sides.add(self)
+        self.state.connections.add(self)
         self.transport.setTcpNoDelay(True)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        delay = SECONDS_OF_DELAY if self.switch.mode == DELAY else 0.0
+        delay = DELAY_SECONDS if self.state.mode == DELAY else 0.0
         if delay:
             reactor.callLater(delay, self.forward, data)
         else:
             self.forward(data)
 
     def forward(self, data: bytes) -> None:
-        # What a partition holds up is delivered once it heals, in order.
-        self.waiting.append(data)
-        if not self.switch.passes(self.is_request):
+        """Write data to the other side, or buffer it while the fault blocks it."""
+        # Data blocked by a fault is delivered in order once the fault is removed.
+        self.buffered.append(data)
+        if not self.state.is_forwarding(self.is_client_side):
             reactor.callLater(0.05, self.forward, b"")
             return
         if self.peer is not None and self.peer.transport is not None:
-            self.peer.transport.write(b"".join(self.waiting))
-            self.waiting.clear()
+            self.peer.transport.write(b"".join(self.buffered))
+            self.buffered.clear()
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        self.switch.sides.discard(self)
+        self.state.connections.discard(self)
         if self.peer is not None and self.peer.transport is not None:
             if reason.check(ConnectionResetError):
                 self.peer.transport.abortConnection()
@@ -73,34 +76,36 @@
                 self.peer.transport.loseConnection()
 
 
-class Front(Factory):
-    """Accepts connections and opens the other half of each."""
+class FrontendFactory(Factory):
+    """Accepts client connections and opens a connection to the target for each."""
 
-    def __init__(self, switch: Switch, target: str) -> None:
-        self.switch = switch
+    def __init__(self, state: FaultState, target: str) -> None:
+        self.state = state
         self.host, _, self.port = target.rpartition(":")
 
-    def buildProtocol(self, addr: Any) -> Side:  # noqa: N802
-        side = Side(self.switch, is_request=True)
-        if self.switch.mode == REFUSE:
-            reactor.callLater(0, lambda: side.transport.abortConnection())
+    def buildProtocol(self, addr: Any) -> ProxiedConnection:  # noqa: N802
+        connection = ProxiedConnection(self.state, is_client_side=True)
+        if self.state.mode == REFUSE:
+            reactor.callLater(0, lambda: connection.transport.abortConnection())
         else:
-            reactor.connectTCP(self.host, int(self.port), Back(self.switch, side))
-        return side
+            reactor.connectTCP(
+                self.host, int(self.port), BackendFactory(self.state, connection)
+            )
+        return connection
 
 
-class Back(ClientFactory):
-    """The other half of one connection."""
+class BackendFactory(ClientFactory):
+    """Opens the connection to the target that belongs to one client connection."""
 
-    def __init__(self, switch: Switch, front: Side) -> None:
-        self.switch = switch
+    def __init__(self, state: FaultState, front: ProxiedConnection) -> None:
+        self.state = state
         self.front = front
 
-    def buildProtocol(self, addr: Any) -> Side:  # noqa: N802
-        side = Side(self.switch, is_request=False)
-        side.peer, self.front.peer = self.front, side
+    def buildProtocol(self, addr: Any) -> ProxiedConnection:  # noqa: N802
+        connection = ProxiedConnection(self.state, is_client_side=False)
+        connection.peer, self.front.peer = self.front, connection
         reactor.callLater(0, self.front.forward, b"")
-        return side
+        return connection
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:  # noqa: N802
         if self.front.transport is not None:
@@ -108,18 +113,18 @@
 
 
 def main() -> None:
-    """Proxy until SIGTERM; ``--listen`` is the address that sets faults."""
+    """Run the proxy until SIGTERM; ``--listen`` is the address of its control API."""
     options = parse(__doc__, front="127.0.0.1:0", target="127.0.0.1:0")
-    switch = Switch()
+    state = FaultState()
     host, _, port = options.front.rpartition(":")
-    reactor.listenTCP(int(port), Front(switch, options.target), interface=host)
+    reactor.listenTCP(int(port), FrontendFactory(state, options.target), interface=host)
 
     def set_mode(request: Request) -> None:
         mode = body_of(request)
         if mode == "reset":
-            switch.reset()
+            state.reset()
         else:
-            switch.mode = mode
+            state.mode = mode
         answer(request, mode)
 
     routes = Routes()
--- a/tests/playdays.py
+++ b/tests/playdays.py
@@ -1,5 +1,5 @@
 """
-Plays days of one kind of trouble each, or a pair, on the users' bench.
+Runs days with one kind of fault or a pair of them on the users' benchmark.
 
 ``python -m tests.playdays --bench PROGRAM --site FILE [--jobs 3] [--names 'store-*']``
 """
@@ -13,23 +13,24 @@
 from typing import NamedTuple
 
 DAYS = Path(__file__).parent / "days"
-# Share of what is owed that a day with one trouble at its strongest must earn.
-FLOOR = 0.5
+# Smallest share of the owed worth that must be earned on a day with one kind of fault
+# at its highest intensity.
+MIN_SERVED = 0.5
 RESULT = re.compile(r"^day .*\n\S+ +\S+ +\S+ +(?P<worth>\S+) +(?P<served>\S+)", re.M)
-BROKEN = re.compile(r"BROKEN: (?P<rules>[A-Z]+ \d+(?:, [A-Z]+ \d+)*)")
+BROKEN_RULES = re.compile(r"BROKEN: (?P<rules>[A-Z]+ \d+(?:, [A-Z]+ \d+)*)")
 
-# What the bench says where a site has no such trouble.
-NOT_OPEN = "is not open"
+# Output of the benchmark if the site does not support the fault.
+UNSUPPORTED_TEXT = "is not open"
 
 
-class NotOpen(NamedTuple):
-    """A day whose trouble the site does not have."""
+class UnsupportedDay(NamedTuple):
+    """A day with a fault that the site does not support."""
 
     name: str
 
 
-class Played(NamedTuple):
-    """What came of one day; ``served`` is earned worth over what was owed."""
+class DayResult(NamedTuple):
+    """The result of one day; ``served`` is the ratio of earned to owed worth."""
 
     name: str
     worth: float
@@ -37,29 +38,29 @@
     broken: str
 
 
-def read(name: str, text: str) -> Played:
+def parse_result(name: str, text: str) -> DayResult:
     """
-    Read what the bench printed.
+    Parse the output of the benchmark for one day.
 
-    :raises ValueError: if the day was not played.
+    :raises ValueError: if the output contains no result.
     """
-    found = RESULT.search(text)
-    if found is None:
-        raise ValueError(f"{name} was not played: {text[-300:]}")
-    broken = BROKEN.search(text)
+    match = RESULT.search(text)
+    if match is None:
+        raise ValueError(f"the benchmark printed no result for {name}: {text[-300:]}")
+    broken = BROKEN_RULES.search(text)
     rules = broken["rules"] if broken else ""
-    return Played(name, float(found["worth"]), float(found["served"]), rules)
+    return DayResult(name, float(match["worth"]), float(match["served"]), rules)
 
 
-def play(bench: str, site: str, path: Path) -> Played | NotOpen:
-    """Play one day and keep its journal entry, unless the site has no such trouble."""
-    why = "one kind of trouble at its strongest, or a pair"
-    command = [bench, "run", site, str(path), "--why", why]
-    done = subprocess.run(command, capture_output=True, text=True, check=False)
-    text = done.stdout + done.stderr
-    if NOT_OPEN in text:
-        return NotOpen(path.stem)
-    return read(path.stem, text)
+def run_day(bench: str, site: str, path: Path) -> DayResult | UnsupportedDay:
+    """Run one day, which adds a journal entry unless the site lacks the fault."""
+    reason = "one kind of trouble at its strongest, or a pair"
+    command = [bench, "run", site, str(path), "--why", reason]
+    completed = subprocess.run(command, capture_output=True, text=True, check=False)
+    text = completed.stdout + completed.stderr
+    if UNSUPPORTED_TEXT in text:
+        return UnsupportedDay(path.stem)
+    return parse_result(path.stem, text)
 
 
 def main() -> int:
@@ -71,19 +72,21 @@
     options = parser.parse_args()
     paths = sorted(DAYS.glob(f"{options.names}.toml"))
     with ThreadPoolExecutor(options.jobs) as pool:
-        found = list(
-            pool.map(lambda path: play(options.bench, options.site, path), paths)
+        outcomes = list(
+            pool.map(lambda path: run_day(options.bench, options.site, path), paths)
         )
-    played = [day for day in found if isinstance(day, Played)]
-    for day in found:
-        if isinstance(day, NotOpen):
-            print(f"{day.name} not played: the site has no such trouble")
-    for day in sorted(played, key=lambda day: day.served):
-        mark = day.broken or ("below the floor" if day.served < FLOOR else "")
+    results = [day for day in outcomes if isinstance(day, DayResult)]
+    for day in outcomes:
+        if isinstance(day, UnsupportedDay):
+            print(f"{day.name} not run: the site does not support its fault")
+    for day in sorted(results, key=lambda day: day.served):
+        mark = day.broken or ("below the minimum" if day.served < MIN_SERVED else "")
         print(f"{day.served:.3f} {day.worth:.3f} {day.name} {mark}")
-    bad = [day for day in played if day.broken or day.served < FLOOR]
-    print(f"{len(played)} days, {len(bad)} with a rule broken or below {FLOOR}")
-    return 1 if bad else 0
+    failed = [day for day in results if day.broken or day.served < MIN_SERVED]
+    print(
+        f"{len(results)} days, {len(failed)} with a rule broken or below {MIN_SERVED}"
+    )
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,7 +1,7 @@
 """
-Random faults on real processes, while callers' and targets' views are checked.
+Injects random faults into real processes and checks what callers and targets observe.
 
-``python -m tests.soak --seeds 50 --first 1`` plays seeds one after the other.
+``python -m tests.soak --seeds 50 --first 1`` runs one seed after the other.
 """
 
 import argparse
@@ -19,31 +19,39 @@
 from typing import NamedTuple
 from uuid import uuid4
 
-from tests.faultproxy import GOOD, MODES
+from tests.faultproxy import MODES, NO_FAULT
 from tools.fleet import Fleet, call, free_port, wait_until
 from tools.platformworld import HOST, PARTS, PlatformWorld
 
-PIECES = 6
+EVENTS_PER_STREAM = 6
 FAULTS_FOR = 6.0
 CALLERS = 6
 REFUSALS = {408, 421, 429, 503}
-# A body that ends each engine that begins to run it, and seconds between two askings.
-FATAL = "fatal"
-FATAL_EVERY = 0.4
-# Crashes after which it is known for what it does, seconds in which all gateways that
-# reach the store learn of it, and how often it may be sent to targets from then on.
-KNOWN_AFTER = 3
-KNOWN_WITHIN = 3.0
-MAX_FATAL = 3
-# Seconds in which all kinds of requests must be served again after the last fault.
-RECOVERY = 12.0
-# Seconds after a target was listed as leaving until nothing may reach it: a gateway may
-# be frozen or cut off from the store for two of them, more than once.
-LEFT_WITHIN = 8.0
-
-
-class Asked(NamedTuple):
-    """What a caller saw of one request; ``status`` is 0 for a broken connection."""
+# A request body that crashes each engine that starts to run it, and the seconds between
+# two requests with it.
+FATAL_BODY = "fatal"
+FATAL_INTERVAL = 0.4
+# Crashes after which the request counts as fatal, seconds until all gateways that reach
+# the store know this, and how many more runs and prefills it may cause from then on.
+CRASHES_UNTIL_KNOWN = 3
+SECONDS_UNTIL_KNOWN = 3.0
+MAX_EVENTS_ONCE_KNOWN = 3
+# Seconds after the last fault within which all kinds of requests must be served again.
+RECOVERY_SECONDS = 12.0
+# Seconds from listing a target as draining until no request may reach it. A gateway may
+# be frozen or cut off from the store for 2 s of them, more than once.
+DRAIN_SECONDS = 8.0
+
+
+class ClientRequest(NamedTuple):
+    """
+    A request and its response.
+
+    :ivar name: request id.
+    :ivar kind: name of the route.
+    :ivar status: 0 if the connection broke.
+    :ivar is_whole: whether the response was received completely.
+    """
 
     name: str
     kind: str
@@ -53,8 +61,15 @@
     sent_at: float
 
 
-class Ran(NamedTuple):
-    """What a target did: ``event`` is ``run``, ``read`` or ``order``."""
+class TargetEvent(NamedTuple):
+    """
+    A logged event of a target.
+
+    :ivar event: ``run``, ``read`` (a prefill), ``order`` or ``crash``.
+    :ivar name: request id, or the holder that sent the order.
+    :ivar at: seconds since the epoch.
+    :ivar fence: fencing token of an order; otherwise 0.
+    """
 
     target: str
     event: str
@@ -64,58 +79,62 @@
 
 
 def problems(
-    asked: list[Asked], ran: list[Ran], left_at: dict[str, float]
+    client_requests: list[ClientRequest],
+    target_events: list[TargetEvent],
+    drained_at: dict[str, float],
 ) -> list[str]:
     """
-    Check the promises against what callers and targets saw.
+    Check the delivery guarantees against the observations of callers and targets.
 
-    :param left_at: since when a target may get nothing any more, by name.
+    :param drained_at: time from which a target may receive no requests, by its name.
     """
     found = []
-    runs_by_name: dict[str, list[Ran]] = {}
-    for event in ran:
+    run_events_by_name: dict[str, list[TargetEvent]] = {}
+    for event in target_events:
         if event.event == "run":
-            runs_by_name.setdefault(event.name, []).append(event)
-    for request in asked:
-        runs = runs_by_name.get(request.name, [])
-        found += _problems_of_request(request, runs)
-    for event in ran:
-        left = left_at.get(event.target)
-        if event.event != "order" and left is not None and event.at > left:
+            run_events_by_name.setdefault(event.name, []).append(event)
+    for request in client_requests:
+        run_events = run_events_by_name.get(request.name, [])
+        found += _problems_of_request(request, run_events)
+    for event in target_events:
+        drain_end = drained_at.get(event.target)
+        if event.event != "order" and drain_end is not None and event.at > drain_end:
             found.append(f"{event.name} reached {event.target} after it had left")
-    return found + _problems_of_orders(ran)
+    return found + _problems_of_orders(target_events)
 
 
-def _problems_of_request(request: Asked, runs: list[Ran]) -> list[str]:
+def _problems_of_request(
+    request: ClientRequest, run_events: list[TargetEvent]
+) -> list[str]:
     found = []
-    if request.kind in ("once", "stream") and len(runs) > 1:
-        found.append(f"{request.kind} {request.name} ran {len(runs)} times")
-    if request.kind in ("once", "stream") and request.status in REFUSALS and runs:
+    if request.kind in ("once", "stream") and len(run_events) > 1:
+        found.append(f"{request.kind} {request.name} ran {len(run_events)} times")
+    if request.kind in ("once", "stream") and request.status in REFUSALS and run_events:
         found.append(f"{request.name} got {request.status} though it ran")
     if request.status == 200 and request.is_whole:
         found += _problems_of_answer(request)
     return found
 
 
-def _problems_of_answer(request: Asked) -> list[str]:
+def _problems_of_answer(request: ClientRequest) -> list[str]:
     if request.kind in ("read", "once"):
-        named = json.loads(request.body)["name"]
-        return [] if named == request.name else [f"{request.name} got {named}'s answer"]
+        owner = json.loads(request.body)["name"]
+        return [] if owner == request.name else [f"{request.name} got {owner}'s answer"]
     lines = request.body.decode().splitlines()
     ids = [int(line[3:]) for line in lines if line.startswith("id:")]
     names = {json.loads(line[5:])["request"] for line in lines if line[:5] == "data:"}
-    if ids != list(range(1, PIECES + 1)):
+    if ids != list(range(1, EVENTS_PER_STREAM + 1)):
         return [f"{request.name} got events {ids} as a whole stream"]
     if names != {request.name}:
         return [f"{request.name} got events of {names}"]
     return []
 
 
-def _problems_of_orders(ran: list[Ran]) -> list[str]:
+def _problems_of_orders(target_events: list[TargetEvent]) -> list[str]:
     found = []
     fences_by_target: dict[str, int] = {}
     holder_by_fence: dict[int, str] = {}
-    for event in sorted(ran, key=lambda item: item.at):
+    for event in sorted(target_events, key=lambda item: item.at):
         if event.event != "order":
             continue
         if event.fence < fences_by_target.get(event.target, 0):
@@ -127,33 +146,33 @@
 
 
 class Caller(threading.Thread):
-    """Sends requests one after the other, on a kept connection while it lasts."""
+    """Sends requests one after the other on a persistent connection."""
 
     def __init__(self, world: "SoakWorld", seed: int) -> None:
         super().__init__(daemon=True)
         self.world = world
         self.random = random.Random(seed)
-        self.asked: list[Asked] = []
+        self.client_requests: list[ClientRequest] = []
         self.is_stopped = threading.Event()
         self.connection: socket.socket | None = None
 
     def run(self) -> None:
         while not self.is_stopped.is_set():
-            self.asked.append(self.ask())
+            self.client_requests.append(self.send_request())
             time.sleep(self.random.uniform(0.0, 0.05))
 
-    def ask(self, kind: str = "") -> Asked:
+    def send_request(self, kind: str = "") -> ClientRequest:
         kind = kind or self.random.choice(("read", "once", "resume", "stream"))
         name, sent_at = uuid4().hex[:16], time.time()
         try:
             found = self._exchange(kind, name)
         except (OSError, ValueError):
-            self._drop()
-            return Asked(name, kind, 0, False, b"", sent_at)
-        return Asked(name, kind, *found, sent_at)
+            self._close_connection()
+            return ClientRequest(name, kind, 0, False, b"", sent_at)
+        return ClientRequest(name, kind, *found, sent_at)
 
     def body(self) -> str:
-        """Choose what is asked."""
+        """Return the body of the next request."""
         return "x"
 
     def _exchange(self, kind: str, name: str) -> tuple[int, bool, bytes]:
@@ -184,44 +203,46 @@
         except (http.client.IncompleteRead, OSError) as error:
             body, is_whole = getattr(error, "partial", b""), False
         if answer.will_close or not is_whole:
-            self._drop()
+            self._close_connection()
         return answer.status, is_whole, body
 
-    def _drop(self) -> None:
+    def _close_connection(self) -> None:
         if self.connection is not None:
             self.connection.close()
             self.connection = None
 
 
 class FatalCaller(Caller):
-    """Asks again and again for what crashes engines, at any gateway."""
+    """Repeats a request that crashes engines, at a random gateway each time."""
 
     def run(self) -> None:
         while not self.is_stopped.is_set():
-            self._drop()
-            self.asked.append(self.ask("resume"))
-            time.sleep(FATAL_EVERY)
+            self._close_connection()
+            self.client_requests.append(self.send_request("resume"))
+            time.sleep(FATAL_INTERVAL)
 
     def body(self) -> str:
-        return FATAL
+        return FATAL_BODY
 
 
-def problems_of_fatal(asked: list[Asked], ran: list[Ran]) -> list[str]:
-    """Check that a fatal request is kept from targets once it is known."""
-    names = {request.name for request in asked}
-    sent = [event for event in ran if event.name in names]
+def fatal_request_problems(
+    client_requests: list[ClientRequest], target_events: list[TargetEvent]
+) -> list[str]:
+    """Check that a fatal request is not sent to targets once it is known."""
+    names = {request.name for request in client_requests}
+    sent = [event for event in target_events if event.name in names]
     crashes = sorted(event.at for event in sent if event.event == "crash")
-    if len(crashes) < KNOWN_AFTER:
+    if len(crashes) < CRASHES_UNTIL_KNOWN:
         return []
-    known_at = crashes[KNOWN_AFTER - 1] + KNOWN_WITHIN
+    known_at = crashes[CRASHES_UNTIL_KNOWN - 1] + SECONDS_UNTIL_KNOWN
     late = [item for item in sent if item.event != "crash" and item.at > known_at]
-    if len(late) <= MAX_FATAL:
+    if len(late) <= MAX_EVENTS_ONCE_KNOWN:
         return []
     return [f"what crashed {len(crashes)} targets was sent to {len(late)} more"]
 
 
 class SoakWorld(PlatformWorld):
-    """A deployment whose every link goes through a fault proxy."""
+    """A deployment whose connections to the store and to targets use fault proxies."""
 
     def __init__(
         self, fleet: Fleet, gateway_count: int = 2, lease: float = 10.0
@@ -232,20 +253,20 @@
         self.gateway_settings: dict[str, object] = {}
         self.proxies: list[str] = []
         self.version = 1
-        self.lives: dict[str, int] = {}
-        self.listed_by_place: dict[str, tuple[str, str, str]] = {}
-        self.left_at: dict[str, float] = {}
-        self.born_by_name: dict[str, int] = {}
+        self.start_count_by_replica: dict[str, int] = {}
+        self.entry_by_replica: dict[str, tuple[str, str, str]] = {}
+        self.drained_at: dict[str, float] = {}
+        self.start_time_by_name: dict[str, int] = {}
 
     def start(self) -> None:
-        for place, service, phase in (
+        for replica, service, phase in (
             ("reader", "llm", "prefill"),
             ("writer", "llm", "decode"),
             ("other-writer", "llm", "decode"),
             ("plain", "plain", ""),
             ("other-plain", "plain", ""),
         ):
-            self.start_target(place, service, phase)
+            self.start_target(replica, service, phase)
         self.configure(1)
         for number, name in enumerate(self.gateways):
             store = self.proxy(f"store-link-{number}", self.fleet.address("store"))
@@ -255,117 +276,129 @@
 
     def proxy(self, name: str, target: str) -> str:
         front = f"127.0.0.1:{free_port()}"
-        words = (f"--front={front}", f"--target={target}")
-        self.fleet.start(name, "tests.faultproxy", *words)
+        arguments = (f"--front={front}", f"--target={target}")
+        self.fleet.start(name, "tests.faultproxy", *arguments)
         self.fleet.settle()
         self.proxies.append(name)
         return front
 
-    def start_target(self, place: str, service: str, phase: str) -> None:
-        self.lives[place] = self.lives.get(place, 0) + 1
-        name = f"{place}-{self.lives[place]}"
-        words = [f"--instance={name}", "--gap=0.02", f"--pieces={PIECES}"]
-        words += [f"--fatal={FATAL}"] + ([f"--phase={phase}"] if phase else [])
-        self.fleet.start(name, "standins.platform_engine", *words)
+    def start_target(self, replica: str, service: str, phase: str) -> None:
+        self.start_count_by_replica[replica] = (
+            self.start_count_by_replica.get(replica, 0) + 1
+        )
+        name = f"{replica}-{self.start_count_by_replica[replica]}"
+        arguments = [
+            f"--instance={name}",
+            "--gap=0.02",
+            f"--pieces={EVENTS_PER_STREAM}",
+        ]
+        arguments += [f"--fatal={FATAL_BODY}"] + ([f"--phase={phase}"] if phase else [])
+        self.fleet.start(name, "standins.platform_engine", *arguments)
         self.fleet.settle()
-        self.born_by_name[name] = self.born(name)
+        self.start_time_by_name[name] = self.born(name)
         address = self.proxy(f"link-{name}", self.fleet.address(name))
-        self.listed_by_place[place] = (name, service, phase)
-        self.list_at(name, service, phase, address)
+        self.entry_by_replica[replica] = (name, service, phase)
+        self.put_entry(name, service, phase, address)
 
-    def revive(self) -> None:
-        """Start targets again that ended by what they ran, as new lives of them."""
-        for name, service, phase in self.listed_by_place.values():
+    def restart_ended_targets(self) -> None:
+        """Restart targets that crashed because of a request they ran."""
+        for name, service, phase in self.entry_by_replica.values():
             if not self.fleet.processes_by_name[name].is_running:
                 self.start_again(name, service, phase)
 
     def start_again(self, name: str, service: str, phase: str) -> None:
-        """Start a target that ended; it keeps its name and its address."""
+        """Restart a target that has ended, with the same name and address."""
         self.fleet.start_again(name)
         self.fleet.settle()
-        self.born_by_name[name] = self.born(name)
-        self.list_at(name, service, phase, self.addresses[name])
+        self.start_time_by_name[name] = self.born(name)
+        self.put_entry(name, service, phase, self.addresses[name])
 
-    def list_at(self, name, service, phase, address, state="ready") -> None:
+    def put_entry(self, name, service, phase, address, state="ready") -> None:
         entry = {"service": service, "address": address, "zone": "north", "slots": 8}
-        entry |= {"born": self.born_by_name[name]}
+        entry |= {"born": self.start_time_by_name[name]}
         entry |= {"state": state} | ({"phase": phase} if phase else {})
         self.addresses = getattr(self, "addresses", {}) | {name: address}
         self.put(f"servers/{name}", entry)
 
-    def ran(self) -> list[Ran]:
+    def target_events(self) -> list[TargetEvent]:
         found = []
         for name, process in self.fleet.processes_by_name.items():
             for line in process.log_path.read_text().splitlines():
                 if line.startswith(('{"event": "r', '{"event": "o', '{"event": "c')):
-                    told = json.loads(line)
-                    fence = told.get("fence", 0)
+                    record = json.loads(line)
+                    fence = record.get("fence", 0)
                     found.append(
-                        Ran(name, told["event"], told["name"], told["at"], fence)
+                        TargetEvent(
+                            name, record["event"], record["name"], record["at"], fence
+                        )
                     )
         return found
 
 
 class Faults:
-    """A seeded series of faults that overlap."""
+    """Injects a seeded sequence of overlapping faults."""
 
     def __init__(self, world: SoakWorld, seed: int) -> None:
         self.world = world
         self.random = random.Random(seed)
-        self.undo: list[tuple[float, object]] = []
+        self.scheduled: list[tuple[float, object]] = []
 
     def play(self) -> list[str]:
-        """Play faults for a while; return what was done, in order."""
+        """Inject faults for ``FAULTS_FOR`` seconds; return a description of each."""
         played = []
         kinds = self.kinds()
         end = time.monotonic() + FAULTS_FOR
         while time.monotonic() < end:
             played.append(self.random.choice(kinds)())
             time.sleep(self.random.uniform(0.1, 0.8))
-            self.undo_due()
-            self.world.revive()
-        self.undo_due(everything=True)
+            self.run_due()
+            self.world.restart_ended_targets()
+        self.run_due(run_all=True)
         return played
 
     def kinds(self) -> tuple:
-        """Return the fault methods to choose from; repeating one raises its odds."""
+        """Return the fault methods to draw from; a repeated one is drawn more often."""
         return (
-            self.link,
-            self.link,
+            self.set_link_fault,
+            self.set_link_fault,
             self.reset,
             self.freeze,
             self.terminate,
             self.kill,
             self.crash_target,
             self.restart_target,
-            self.write_foreign,
-            self.leave,
+            self.put_invalid_entry,
+            self.drain_target,
             self.configure,
-            self.hang_up,
+            self.send_hangup,
         )
 
-    def later(self, seconds: float, call_back) -> None:
-        self.undo.append((time.monotonic() + seconds, call_back))
+    def schedule(self, seconds: float, callback) -> None:
+        """Run a callback between two faults once at least ``seconds`` have passed."""
+        self.scheduled.append((time.monotonic() + seconds, callback))
 
-    def undo_due(self, everything: bool = False) -> None:
+    def run_due(self, run_all: bool = False) -> None:
+        """Run the scheduled callbacks that are due, or all of them."""
         now = time.monotonic()
-        due = [item for item in self.undo if everything or item[0] <= now]
-        self.undo = [item for item in self.undo if item not in due]
-        for _, call_back in due:
-            call_back()
+        due = [item for item in self.scheduled if run_all or item[0] <= now]
+        self.scheduled = [item for item in self.scheduled if item not in due]
+        for _, callback in due:
+            callback()
 
-    def mode(self, name: str, mode: str) -> None:
+    def set_mode(self, name: str, mode: str) -> None:
         call(self.world.fleet.url(name, "/mode"), "PUT", mode)
 
-    def link(self) -> str:
+    def set_link_fault(self) -> str:
         name, mode = self.random.choice(self.world.proxies), self.random.choice(MODES)
-        self.mode(name, mode)
-        self.later(self.random.uniform(0.2, 2.0), lambda: self.mode(name, GOOD))
+        self.set_mode(name, mode)
+        self.schedule(
+            self.random.uniform(0.2, 2.0), lambda: self.set_mode(name, NO_FAULT)
+        )
         return f"{name} {mode}"
 
     def reset(self) -> str:
         name = self.random.choice(self.world.proxies)
-        self.mode(name, "reset")
+        self.set_mode(name, "reset")
         return f"{name} reset"
 
     def gateway(self):
@@ -376,17 +409,19 @@
         name, process = self.gateway()
         if process.is_running:
             process.pause()
-            self.later(
+            self.schedule(
                 self.random.uniform(0.3, 2.0),
                 lambda: process.is_running and process.resume(),
             )
         return f"{name} frozen"
 
     def start_again(self, name: str) -> None:
+        """Wait until a gateway has ended, then restart it."""
         process = self.world.fleet.processes_by_name[name]
         wait_until(lambda: not process.is_running, within=10.0)
         self.world.fleet.start_again(name)
-        # A process that is frozen before it listens would be waited for in vain.
+        # If another fault froze the process before it listens, the next wait for it
+        # would time out.
         self.world.fleet.settle()
 
     def terminate(self) -> str:
@@ -394,58 +429,58 @@
         if process.is_running:
             process.send(signal.SIGCONT)
             process.send(signal.SIGTERM)
-            self.later(0.0, lambda: self.start_again(name))
+            self.schedule(0.0, lambda: self.start_again(name))
         return f"{name} terminated"
 
     def kill(self) -> str:
         name, process = self.gateway()
         if process.is_running:
             process.kill()
-            self.later(0.3, lambda: self.start_again(name))
+            self.schedule(0.3, lambda: self.start_again(name))
         return f"{name} killed"
 
-    def hang_up(self) -> str:
+    def send_hangup(self) -> str:
         name, process = self.gateway()
         if process.is_running:
             process.send(signal.SIGHUP)
         return f"{name} hung up"
 
     def crash_target(self) -> str:
-        place = self.random.choice(sorted(self.world.listed_by_place))
-        name, service, phase = self.world.listed_by_place[place]
+        replica = self.random.choice(sorted(self.world.entry_by_replica))
+        name, service, phase = self.world.entry_by_replica[replica]
         self.world.fleet.processes_by_name[name].kill()
 
-        def replace() -> None:
+        def remove_entry() -> None:
             self.world.remove(f"servers/{name}")
 
-        self.later(1.5, replace)
-        self.world.start_target(place, service, phase)
+        self.schedule(1.5, remove_entry)
+        self.world.start_target(replica, service, phase)
         return f"{name} crashed"
 
     def restart_target(self) -> str:
-        """Start a target again that keeps its name and its address."""
-        place = self.random.choice(sorted(self.world.listed_by_place))
-        name, service, phase = self.world.listed_by_place[place]
+        """Restart a target under the same name and address."""
+        replica = self.random.choice(sorted(self.world.entry_by_replica))
+        name, service, phase = self.world.entry_by_replica[replica]
         self.world.fleet.processes_by_name[name].kill()
         self.world.start_again(name, service, phase)
         return f"{name} restarted"
 
-    def write_foreign(self) -> str:
-        """Have another writer list what names no target."""
+    def put_invalid_entry(self) -> str:
+        """Write an invalid target entry, as a faulty client of the store would."""
         entry = self.random.choice(
             ([], {}, {"service": "llm"}, {"service": "plain", "address": 7}, "x")
         )
         self.world.put(f"servers/stranger-{self.random.randint(1, 3)}", entry)
         return f"a stranger wrote {entry}"
 
-    def leave(self) -> str:
-        place = self.random.choice(sorted(self.world.listed_by_place))
-        name, service, phase = self.world.listed_by_place[place]
-        self.world.start_target(place, service, phase)
+    def drain_target(self) -> str:
+        replica = self.random.choice(sorted(self.world.entry_by_replica))
+        name, service, phase = self.world.entry_by_replica[replica]
+        self.world.start_target(replica, service, phase)
         address = self.world.addresses[name]
-        self.world.list_at(name, service, phase, address, state="draining")
-        self.later(4.0, lambda: self.world.remove(f"servers/{name}"))
-        self.world.left_at[name] = time.time() + LEFT_WITHIN
+        self.world.put_entry(name, service, phase, address, state="draining")
+        self.schedule(4.0, lambda: self.world.remove(f"servers/{name}"))
+        self.world.drained_at[name] = time.time() + DRAIN_SECONDS
         return f"{name} left"
 
     def configure(self) -> str:
@@ -456,9 +491,9 @@
 
 def play(seed: int, keep: Path | None = None) -> list[str]:
     """
-    Play one seed; return what was wrong.
+    Run the soak with one seed; return the problems found.
 
-    :param keep: folder that takes the logs of a run that failed.
+    :param keep: folder to which the logs of a failed run are copied.
     """
     with Fleet() as fleet:
         world = SoakWorld(fleet)
@@ -470,46 +505,53 @@
         faults = Faults(world, seed)
         played = faults.play()
         for name in world.proxies:
-            faults.mode(name, GOOD)
+            faults.set_mode(name, NO_FAULT)
         found = recovery_problems(world, callers[0])
         for caller in (*callers, fatal):
             caller.is_stopped.set()
         for caller in (*callers, fatal):
             caller.join(10)
-        asked = [request for caller in callers for request in caller.asked]
-        ran = world.ran()
-        found += problems(asked, ran, world.left_at)
-        found += problems_of_fatal(fatal.asked, ran)
+        client_requests = [
+            request for caller in callers for request in caller.client_requests
+        ]
+        target_events = world.target_events()
+        found += problems(client_requests, target_events, world.drained_at)
+        found += fatal_request_problems(fatal.client_requests, target_events)
         found += fleet.faults()
-        outcomes = sorted({request.status for request in asked})
-        print(f"seed {seed}: {len(asked)} requests, {outcomes}, {played}", flush=True)
+        statuses = sorted({request.status for request in client_requests})
+        print(
+            f"seed {seed}: {len(client_requests)} requests, {statuses}, {played}",
+            flush=True,
+        )
         if found and keep is not None:
             shutil.copytree(fleet.folder, keep / f"{seed}-{uuid4().hex[:6]}")
     return found
 
 
 def recovery_problems(world: SoakWorld, like: Caller) -> list[str]:
-    """Check that every kind of request is served again by every gateway."""
+    """Check that every gateway serves every kind of request again."""
     missing = []
     for name in world.gateways:
         for kind in ("read", "once", "resume", "stream"):
             caller = Caller(world, 1)
-            caller.world = _Only(world, name)
+            caller.world = _SingleGatewayWorld(world, name)
             try:
-                wait_until(lambda c=caller, k=kind: serves(world, c, k), RECOVERY)
+                wait_until(
+                    lambda c=caller, k=kind: is_served(world, c, k), RECOVERY_SECONDS
+                )
             except TimeoutError:
                 missing.append(f"{name} does not serve {kind} after all faults")
     return missing
 
 
-def serves(world: SoakWorld, caller: Caller, kind: str) -> bool:
-    """Ask once, with all targets up."""
-    world.revive()
-    return caller.ask(kind).status == 200
+def is_served(world: SoakWorld, caller: Caller, kind: str) -> bool:
+    """Restart ended targets, send one request and check that it succeeds."""
+    world.restart_ended_targets()
+    return caller.send_request(kind).status == 200
 
 
-class _Only:
-    """A world of which only one gateway is used."""
+class _SingleGatewayWorld:
+    """The part of a world that a caller uses, reduced to one gateway."""
 
     def __init__(self, world: SoakWorld, gateway: str) -> None:
         self.fleet = world.fleet
@@ -518,9 +560,9 @@
 
 def main(play_seed: Callable[[int, Path | None], list[str]] = play) -> int:
     """
-    Play seeds; print the problems found with each.
+    Run the soak with several seeds; print the problems found with each.
 
-    :param play_seed: plays one seed, given the seed and the folder for logs of failed
+    :param play_seed: runs one seed, given the seed and the folder for logs of failed
         runs, and returns the problems found.
     """
     parser = argparse.ArgumentParser()
--- a/tests/soak_retries.py
+++ b/tests/soak_retries.py
@@ -1,7 +1,7 @@
 """
-Gateway restarts while all targets of a service fail, checked against the retry budget.
+Restarts gateways while all targets of a service fail, and checks the retry budget.
 
-``python -m tests.soak_retries --seeds 50 --first 1`` plays seeds one after the other.
+``python -m tests.soak_retries --seeds 50 --first 1`` runs one seed after the other.
 """
 
 import shutil
@@ -11,7 +11,7 @@
 from pathlib import Path
 from uuid import uuid4
 
-from tests.soak import Asked, Caller, Faults, Ran, SoakWorld, main
+from tests.soak import Caller, ClientRequest, Faults, SoakWorld, TargetEvent, main
 from tools.fleet import Fleet
 
 GATEWAYS = 3
@@ -24,18 +24,20 @@
 ESTABLISHED_AFTER = WINDOW + LEASE + 1.5
 
 
-def problems_of_retries(asked: list[Asked], ran: list[Ran]) -> list[str]:
+def problems_of_retries(
+    client_requests: list[ClientRequest], run_events: list[TargetEvent]
+) -> list[str]:
     """
     Check that retries over all gateways stay within the budget in every window.
 
     The bound uses the highest request count of the same window, the one half a window
     earlier and the one a full window earlier.
 
-    :param asked: all requests to the service.
-    :param ran: the ``run`` events of its targets.
+    :param client_requests: all requests to the service.
+    :param run_events: the ``run`` events of its targets.
     """
     arrivals_by_name: dict[str, list[float]] = {}
-    for event in sorted(ran, key=lambda item: item.at):
+    for event in sorted(run_events, key=lambda item: item.at):
         arrivals_by_name.setdefault(event.name, []).append(event.at)
     retries = sorted(at for times in arrivals_by_name.values() for at in times[1:])
     for start in retries:
@@ -43,7 +45,7 @@
         requests = max(
             sum(
                 start - offset <= item.sent_at < start - offset + WINDOW
-                for item in asked
+                for item in client_requests
             )
             for offset in (0, WINDOW / 2, WINDOW)
         )
@@ -58,15 +60,15 @@
 
     def run(self) -> None:
         while not self.is_stopped.is_set():
-            self.asked.append(self.ask())
+            self.client_requests.append(self.send_request())
             time.sleep(self.random.uniform(0.1, 0.2))
 
-    def ask(self, kind: str = "read") -> Asked:
-        return super().ask(kind)
+    def send_request(self, kind: str = "read") -> ClientRequest:
+        return super().send_request(kind)
 
 
 class GatewayFaults(Faults):
-    """Faults of gateways and of their links to the store only."""
+    """Injects faults only into gateways and their connections to the store."""
 
     def kinds(self) -> tuple:
         return (
@@ -80,8 +82,10 @@
 
     def reset_store_link(self) -> str:
         name = self.random.choice([p for p in self.world.proxies if p[:5] == "store"])
-        self.mode(name, "reset")
-        self.later(self.random.uniform(0.5, 3.0), lambda: self.mode(name, "good"))
+        self.set_mode(name, "reset")
+        self.schedule(
+            self.random.uniform(0.5, 3.0), lambda: self.set_mode(name, "good")
+        )
         return f"{name} reset"
 
     def kill_all_gateways(self) -> str:
@@ -90,13 +94,13 @@
             if process.is_running:
                 process.send(signal.SIGCONT)
                 process.kill()
-                self.later(0.2, lambda n=name: self.start_again(n))
+                self.schedule(0.2, lambda n=name: self.start_again(n))
         return "all gateways killed"
 
 
 def play(seed: int, keep: Path | None = None) -> list[str]:
     """
-    Play one seed; return the problems found.
+    Run the soak with one seed; return the problems found.
 
     :param keep: folder to which the logs of a failed run are copied.
     """
@@ -109,24 +113,27 @@
         for caller in callers:
             caller.start()
         time.sleep(ESTABLISHED_AFTER)
-        for place in ("plain", "other-plain"):
-            world.fault(f"{place}-1", status=500)
+        for replica in ("plain", "other-plain"):
+            world.fault(f"{replica}-1", status=500)
         played = GatewayFaults(world, seed).play()
         for caller in callers:
             caller.is_stopped.set()
         for caller in callers:
             caller.join(10)
-        asked = [request for caller in callers for request in caller.asked]
-        names = {request.name for request in asked}
-        ran = [
+        client_requests = [
+            request for caller in callers for request in caller.client_requests
+        ]
+        names = {request.name for request in client_requests}
+        run_events = [
             event
-            for event in world.ran()
+            for event in world.target_events()
             if event.name in names and event.event == "run"
         ]
-        found = problems_of_retries(asked, ran) + fleet.faults()
-        retry_count = len(ran) - len({event.name for event in ran})
+        found = problems_of_retries(client_requests, run_events) + fleet.faults()
+        retry_count = len(run_events) - len({event.name for event in run_events})
         print(
-            f"seed {seed}: {len(asked)} requests, {retry_count} retries, {played}",
+            f"seed {seed}: {len(client_requests)} requests, {retry_count} retries, "
+            f"{played}",
             flush=True,
         )
         if found and keep is not None:
--- a/tests/test_playdays.py
+++ b/tests/test_playdays.py
@@ -1,10 +1,10 @@
-"""Days of our own are well formed, and what the bench prints of them is read."""
+"""Tests of the files in ``tests/days`` and of the parser of the benchmark's output."""
 
 import tomllib
 
 import pytest
 
-from tests.playdays import DAYS, NotOpen, Played, play, read
+from tests.playdays import DAYS, DayResult, UnsupportedDay, parse_result, run_day
 
 TABLE = "day   own/srv  score  worth served refused failed  weakest part\n"
 
@@ -25,17 +25,19 @@
         text = (
             TABLE + "burst    14/12   0.43  0.432  0.666   0.132  0.054  worst class\n"
         )
-        assert read("burst", text) == Played("burst", 0.432, 0.666, "")
+        assert parse_result("burst", text) == DayResult("burst", 0.432, 0.666, "")
 
     def test_broken_rules_are_named(self):
         line = (
             "burst 14/12 0.00 0.114 0.550 0.027 0.285  worst  BROKEN: GONE 2 (else 0.1)"
         )
-        assert read("burst", TABLE + line).broken == "GONE 2"
+        assert parse_result("burst", TABLE + line).broken == "GONE 2"
 
     def test_day_that_was_not_played_is_an_error(self):
-        with pytest.raises(ValueError, match="burst was not played: no such day"):
-            read("burst", "no such day")
+        with pytest.raises(
+            ValueError, match="printed no result for burst: no such day"
+        ):
+            parse_result("burst", "no such day")
 
 
 class TestPlay:
@@ -43,4 +45,6 @@
         bench = tmp_path / "bench"
         bench.write_text("#!/bin/sh\necho 'bench: flap: contract health is not open'\n")
         bench.chmod(0o755)
-        assert play(str(bench), "site", tmp_path / "flap.toml") == NotOpen("flap")
+        assert run_day(str(bench), "site", tmp_path / "flap.toml") == UnsupportedDay(
+            "flap"
+        )
--- a/tests/test_random_failures.py
+++ b/tests/test_random_failures.py
@@ -1,4 +1,4 @@
-"""Random interleavings of work and failures keep what must always hold."""
+"""Checks invariants under random interleavings of requests and failures."""
 
 import pytest
 import structlog
@@ -25,7 +25,7 @@
 
 @pytest.fixture(scope="module", autouse=True)
 def logging_before():
-    """Let later tests of this process read log lines again."""
+    """Restore the logging configuration for later tests in this process."""
     before = structlog.get_config()
     yield
     structlog.configure(**before)
@@ -42,7 +42,7 @@
         )
         self.world = VirtualWorld()
         for engine in ENGINES:
-            # Under a second, the quiet time of a new sidecar.
+            # Shorter than the quiet period of a new sidecar (1 s).
             self.world.network.targets[engine].order_transit = 0.6
         for name, place in (("one", "north"), ("two", "south")):
             self.world.start_entry(name, place)
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""Load patterns replayed in virtual time, with a mechanism and without it."""
+"""Replays of load patterns in virtual time, with and without each mechanism."""
 
 from functools import lru_cache
 from math import sqrt
@@ -13,24 +13,24 @@
 
 
 @lru_cache
-def played(load, policy, seed=1):
+def replay_load(load, policy, seed=1):
     return replay(read_load(load), policy, seed)
 
 
 def gain(load, without):
-    """Tell how much worth is earned beyond another policy."""
-    return played(load, "current").worth - played(load, without).worth
+    """Return how much more worth the current policy earns than another one."""
+    return replay_load(load, "current").worth - replay_load(load, without).worth
 
 
 def is_beyond_noise(differences):
-    """Tell whether differences by seed are above nothing by two standard errors."""
+    """Check that the mean of differences exceeds zero by two standard errors."""
     return mean(differences) > 2 * stdev(differences) / sqrt(len(differences))
 
 
 class TestLoads:
     @pytest.mark.parametrize("load", LOAD_NAMES)
     def test_a_replay_repeats(self, load):
-        assert replay(read_load(load), "current") == played(load, "current")
+        assert replay(read_load(load), "current") == replay_load(load, "current")
 
     @pytest.mark.parametrize("load", LOAD_NAMES)
     @pytest.mark.parametrize("baseline", ["round robin", "least in flight"])
@@ -39,19 +39,19 @@
 
     @pytest.mark.parametrize("load", LOAD_NAMES)
     def test_no_kind_and_no_size_is_starved(self, load):
-        found = played(load, "current")
+        found = replay_load(load, "current")
         assert min(found.worth_by_kind.values()) > 0.5 * found.worth
         assert found.large_served > 0.5
 
     @pytest.mark.parametrize("load", LOAD_NAMES)
     def test_nothing_is_left_until_its_time_is_over(self, load):
         crashed = 0.02 if load == "crash" else 0.0
-        assert played(load, "current").failed <= crashed
+        assert replay_load(load, "current").failed <= crashed
 
 
 class TestMechanisms:
     def test_calm_load_is_served_nearly_whole(self):
-        found = played("calm", "current")
+        found = replay_load("calm", "current")
         assert found.worth > 0.95
         assert found.refused < 0.01
 
@@ -64,18 +64,18 @@
 
     def test_a_price_on_engine_time_earns_more(self):
         differences = [
-            played("bursts", "current", seed).worth
-            - played("bursts", "no price on engine time", seed).worth
+            replay_load("bursts", "current", seed).worth
+            - replay_load("bursts", "no price on engine time", seed).worth
             for seed in SEEDS
         ]
         assert is_beyond_noise(differences)
 
     @pytest.mark.parametrize("load", ["lossy-news", "many-gateways"])
     def test_a_price_on_engine_time_keeps_parts_where_they_are(self, load):
-        """Without it shared parts are read again at one engine after the other."""
+        """Without the price, engine after engine prefills the shared parts again."""
         differences = [
-            played(load, "no price on engine time", seed).reread
-            - played(load, "current", seed).reread
+            replay_load(load, "no price on engine time", seed).reread
+            - replay_load(load, "current", seed).reread
             for seed in SEEDS
         ]
         assert is_beyond_noise(differences)
@@ -92,7 +92,7 @@
     def test_shared_knowledge_loses_little_against_one_gateway(self):
         load = read_load("many-gateways")
         alone = replay(type(load)(**{**_fields(load), "gateways": 1}), "current")
-        assert played("many-gateways", "current").worth > alone.worth - 0.05
+        assert replay_load("many-gateways", "current").worth > alone.worth - 0.05
 
 
 def _fields(load):
@@ -106,15 +106,15 @@
 
 
 class TestFatalRequests:
-    """Pattern: requests that end each engine that begins to write their answer."""
+    """Loads with requests that crash each engine that starts to decode them."""
 
     def test_one_of_them_takes_few_engines(self):
-        found = played("crashes/one-fatal-request", "current")
+        found = replay_load("crashes/one-fatal-request", "current")
         assert found.crashed <= 4
         assert gain("crashes/one-fatal-request", "nothing suspected") > 0.3
 
     def test_ten_of_them_take_less_than_without_suspicion(self):
-        found = played("crashes/ten-fatal-requests", "current")
+        found = replay_load("crashes/ten-fatal-requests", "current")
         assert found.crashed <= 30
         assert gain("crashes/ten-fatal-requests", "nothing suspected") > 0.1
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's checks catch planted faults; one short seed runs here."""
+"""Tests that the checks of the soak detect violations, and short runs of the soak."""
 
 import json
 from types import SimpleNamespace
@@ -7,30 +7,31 @@
 
 from standins.platform_engine import PlatformEngineStandIn
 from tests import soak
-from tests.soak import Asked, Ran, problems, problems_of_fatal
+from tests.soak import ClientRequest, TargetEvent, fatal_request_problems, problems
 
-# Seeds that once failed stay here, each with its cause.
+# Regression seeds: each failed once, for the cause given.
 FAILED_SEEDS = [
-    # What all callers ask was held for a minute beside the request to blame.
+    # Requests of all callers were quarantined for a minute along with the fatal one.
     901,
-    # Tries that two gateways began at the same moment blamed nobody, again and again.
+    # Two gateways repeatedly started trials at the same time, so no request was blamed
+    # for the crashes.
     1015,
-    # Behind a proxy that still listens a crash showed only as its target was listed
-    # anew, eight seconds later.
+    # A proxy kept listening after its target had crashed, so gateways detected the
+    # crash only from the new entry of the target, 8 s later.
     2001,
-    # The same, and a gateway that stopped meanwhile told nobody of a crash.
+    # As for seed 2001; in addition a gateway stopped before it had reported a crash.
     2100,
 ]
 
 
-def asked(kind, status=200, name="a", body=None, is_whole=True):
+def client_request(kind, status=200, name="a", body=None, is_whole=True):
     if body is None:
         body = json.dumps({"name": name}).encode()
-    return Asked(name, kind, status, is_whole, body, 0.0)
+    return ClientRequest(name, kind, status, is_whole, body, 0.0)
 
 
-def ran(name="a", target="t", event="run", at=1.0, fence=0):
-    return Ran(target, event, name, at, fence)
+def target_event(name="a", target="t", event="run", at=1.0, fence=0):
+    return TargetEvent(target, event, name, at, fence)
 
 
 def stream(name, ids):
@@ -43,7 +44,8 @@
 
 class TestTargetEvents:
     def test_event_is_written_in_one_call(self, monkeypatch):
-        # Guards against an unterminated line that the next process appends to.
+        # A process killed between two writes would leave an unterminated line, to
+        # which the next process would append.
         writes = []
         stdout = SimpleNamespace(write=writes.append, flush=lambda: None)
         monkeypatch.setattr("sys.stdout", stdout)
@@ -55,48 +57,56 @@
 
 class TestPlantedFaults:
     def test_whole_and_single_answers_pass(self):
-        whole = stream("b", range(1, soak.PIECES + 1))
-        requests = [asked("once"), asked("resume", name="b", body=whole)]
-        assert problems(requests, [ran(), ran("b")], {}) == []
+        whole = stream("b", range(1, soak.EVENTS_PER_STREAM + 1))
+        requests = [
+            client_request("once"),
+            client_request("resume", name="b", body=whole),
+        ]
+        assert problems(requests, [target_event(), target_event("b")], {}) == []
 
     def test_double_run(self):
-        assert problems([asked("once")], [ran(), ran(target="u")], {})
+        assert problems(
+            [client_request("once")], [target_event(), target_event(target="u")], {}
+        )
 
     def test_refusal_of_what_ran(self):
-        assert problems([asked("once", 503)], [ran()], {})
+        assert problems([client_request("once", 503)], [target_event()], {})
 
     def test_lost_part_of_an_answer(self):
         short = stream("a", [1, 2, 4, 5, 6])
-        assert problems([asked("resume", body=short)], [ran()], {})
+        assert problems([client_request("resume", body=short)], [target_event()], {})
 
     def test_mixed_answer(self):
         other = json.dumps({"name": "other"}).encode()
-        assert problems([asked("read", body=other)], [ran()], {})
-        mixed = stream("other", range(1, soak.PIECES + 1))
-        assert problems([asked("stream", body=mixed)], [ran()], {})
+        assert problems([client_request("read", body=other)], [target_event()], {})
+        mixed = stream("other", range(1, soak.EVENTS_PER_STREAM + 1))
+        assert problems([client_request("stream", body=mixed)], [target_event()], {})
 
     def test_fatal_request_that_goes_on(self):
-        crashes = [ran(event="crash", at=float(n)) for n in range(3)]
-        late = [ran(at=6.0 + n) for n in range(4)]
-        assert problems_of_fatal([asked("resume")], [*crashes, *late[:3]]) == []
-        assert problems_of_fatal([asked("resume")], [*crashes, *late])
+        crashes = [target_event(event="crash", at=float(n)) for n in range(3)]
+        late = [target_event(at=6.0 + n) for n in range(4)]
+        assert (
+            fatal_request_problems([client_request("resume")], [*crashes, *late[:3]])
+            == []
+        )
+        assert fatal_request_problems([client_request("resume")], [*crashes, *late])
 
     def test_stale_order(self):
         orders = [
-            ran("g1", event="order", at=1.0, fence=7),
-            ran("g2", event="order", at=2.0, fence=5),
+            target_event("g1", event="order", at=1.0, fence=7),
+            target_event("g2", event="order", at=2.0, fence=5),
         ]
         assert problems([], orders, {})
 
     def test_two_holders_with_one_fence(self):
         orders = [
-            ran("g1", event="order", at=1.0, fence=7),
-            ran("g2", "u", event="order", at=2.0, fence=7),
+            target_event("g1", event="order", at=1.0, fence=7),
+            target_event("g2", "u", event="order", at=2.0, fence=7),
         ]
         assert problems([], orders, {})
 
     def test_request_to_a_target_that_left(self):
-        assert problems([], [ran(at=9.0)], {"t": 8.0})
+        assert problems([], [target_event(at=9.0)], {"t": 8.0})
 
 
 @pytest.mark.parametrize("seed", [2, *FAILED_SEEDS])
--- a/tests/test_soak_retries.py
+++ b/tests/test_soak_retries.py
@@ -1,42 +1,49 @@
-"""Tests of the retry soak's budget check, and one seed of the soak."""
+"""Tests of the budget check of the retry soak, and a run of the soak with one seed."""
 
 import pytest
 
 from tests import soak_retries
-from tests.soak import Asked, Ran
+from tests.soak import ClientRequest, TargetEvent
 from tests.soak_retries import WINDOW, problems_of_retries
 
 
-def asked(count, at=0.0):
-    return [Asked(f"r{n}", "read", 200, True, b"", at) for n in range(count)]
+def client_requests(count, at=0.0):
+    return [ClientRequest(f"r{n}", "read", 200, True, b"", at) for n in range(count)]
 
 
-def ran(count, at=0.0):
-    return [Ran("t", "run", f"r{n}", at, 0) for n in range(count)]
+def target_events(count, at=0.0):
+    return [TargetEvent("t", "run", f"r{n}", at, 0) for n in range(count)]
 
 
 class TestProblemsOfRetries:
     def test_retries_within_the_budget_pass(self):
         # The budget is 0.2 * 20 requests + slack of 36 = 40 retries.
-        assert problems_of_retries(asked(20), 3 * ran(20)) == []
+        assert problems_of_retries(client_requests(20), 3 * target_events(20)) == []
 
     def test_one_retry_beyond_the_budget_is_reported(self):
-        arrivals = 3 * ran(20) + ran(1)
-        (found,) = problems_of_retries(asked(20), arrivals)
+        arrivals = 3 * target_events(20) + target_events(1)
+        (found,) = problems_of_retries(client_requests(20), arrivals)
         assert found == "41 retries for 20 requests, 40.0 allowed"
 
     def test_retries_of_separate_windows_are_not_summed(self):
-        arrivals = ran(20) + ran(20, 0.1) + ran(20, 0.1 + WINDOW) + ran(5, 0.2)
-        assert problems_of_retries(asked(20), arrivals) == []
+        arrivals = (
+            target_events(20)
+            + target_events(20, 0.1)
+            + target_events(20, 0.1 + WINDOW)
+            + target_events(5, 0.2)
+        )
+        assert problems_of_retries(client_requests(20), arrivals) == []
 
     def test_requests_of_the_previous_window_count(self):
-        requests = asked(20, -WINDOW / 2)
-        assert problems_of_retries(requests, 3 * ran(20)) == []
-        early = asked(20, -2 * WINDOW)
-        assert problems_of_retries(early, 3 * ran(20))[0].startswith("40 retries for 0")
+        requests = client_requests(20, -WINDOW / 2)
+        assert problems_of_retries(requests, 3 * target_events(20)) == []
+        early = client_requests(20, -2 * WINDOW)
+        assert problems_of_retries(early, 3 * target_events(20))[0].startswith(
+            "40 retries for 0"
+        )
 
 
-# Guards against restarted gateways using their part of the slack again.
+# Guards against a restarted gateway using its share of the slack a second time.
 @pytest.mark.parametrize("seed", [5])
 def test_seed(seed):
     assert soak_retries.play(seed) == []
