--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -1,4 +1,4 @@
-"""The two worlds that scenarios run in: virtual time, and real processes."""
+"""Environments that scenarios run in: simulated virtual time and real processes."""
 
 import http.client
 import json
@@ -22,39 +22,39 @@
 from tools.fleet import SHARED_KEY, Fleet, call, free_port, wait_until
 from tools.relay import RelayControl
 
-PATIENCE = 60.0
-STEP = 0.01
+WAIT_LIMIT_SECONDS = 60.0
+CLOCK_STEP_SECONDS = 0.01
 DEFAULT_TOKENS = 10
 
 
 class BaseWorld:
-    """What both worlds share: how conditions are told from facts."""
+    """Condition checks that are common to both environments."""
 
-    noted = 0
+    noted_starts = 0
 
     def check(self, condition: Condition) -> bool:
         return bool(getattr(self, f"is_{condition.kind}")(*condition.arguments))
 
     def note_started(self, target: str) -> None:
-        self.noted = self.started_at(target)
+        self.noted_starts = self.started_at(target)
 
     def is_started(self, target: str, count: int) -> bool:
         return self.started_at(target) == count
 
     def is_started_no_more(self, target: str) -> bool:
-        return self.started_at(target) == self.noted
+        return self.started_at(target) == self.noted_starts
 
     def is_orders_in_order(self, target: str) -> bool:
-        begun, overlaps = self.orders_of(target)
-        return begun == sorted(begun) and overlaps == 0
+        fencing_numbers, overlaps = self.order_history(target)
+        return fencing_numbers == sorted(fencing_numbers) and overlaps == 0
 
-    def is_ran_at_most(self, service: str, key: str, most: int) -> bool:
-        return self.runs(service, key) <= most
+    def is_ran_at_most(self, service: str, key: str, limit: int) -> bool:
+        return self.runs(service, key) <= limit
 
     def is_ran(self, service: str, key: str, times: int) -> bool:
         return self.runs(service, key) == times
 
-    def orders_of(self, target: str) -> tuple[list[int], int]:
+    def order_history(self, target: str) -> tuple[list[int], int]:
         raise NotImplementedError
 
     def runs(self, service: str, key: str) -> int:
@@ -65,59 +65,63 @@
 
 
 class VirtualWorld(BaseWorld):
-    """Entries and sidecars as objects in virtual time."""
+    """Runs entries and sidecars as objects in one process, in virtual time."""
 
     def __init__(self) -> None:
         self.network = VirtualNetwork()
         self.replies: dict[str, VirtualReply] = {}
         self.wanted: dict[str, str] = {}
         self.stopped: dict[str, bool] = {}
-        self.racers: dict[str, Any] = {}
-        self._places: dict[str, Any] = {}
+        self.race_outcomes: dict[str, Any] = {}
+        self._locations: dict[str, Any] = {}
         self.document = configuration()
         for name, target in self.document["targets"].items():
             kind = VirtualEngine if name.startswith("engine") else VirtualPlain
             self.network.start_target(name, kind)
-            port = 100 + len(self._places)
-            self._places[name] = (target["data_centre"], port)
+            port = 100 + len(self._locations)
+            self._locations[name] = (target["data_centre"], port)
             self.network.start_sidecar(name, target["data_centre"], port)
         self._apply(self.document)
 
     def _apply(self, document: dict[str, Any]) -> None:
         accepted = check(document).ok_value
         self.document = document
-        applied: list[Any] = []
-        pending = Deferred.fromCoroutine(
+        results: list[Any] = []
+        deferred = Deferred.fromCoroutine(
             porcelain.apply_configuration(self.network.memory, accepted, "test")
         )
-        pending.addCallback(applied.append)
-        assert applied and not isinstance(applied[0], Err), applied
+        deferred.addCallback(results.append)
+        assert results and not isinstance(results[0], Err), results
 
     def wait_for(self, condition: Condition) -> bool:
-        end = self.network.clock.now() + PATIENCE
-        while self.network.clock.now() < end:
+        deadline = self.network.clock.now() + WAIT_LIMIT_SECONDS
+        while self.network.clock.now() < deadline:
             if self.check(condition):
                 return True
-            self.network.clock.advance(STEP)
+            self.network.clock.advance(CLOCK_STEP_SECONDS)
         return False
 
     def start_entry(self, name: str, data_centre: str) -> None:
-        self._places[name] = (data_centre, 0)
+        self._locations[name] = (data_centre, 0)
         self.network.start_entry(name, data_centre)
         ready = Condition("reaches", [name, "everything"])
         if not self.network.memory.is_down:
-            assert self.wait_for(ready), f"{name} reaches not all targets"
+            assert self.wait_for(ready), f"{name} does not reach all targets"
 
     def is_reaches(self, entry: str, target: str) -> bool:
-        wanted = set(TARGETS) if target == "everything" else {target}
-        known = self.network.entries[entry].directory.describe()
-        linked = {item["target"] for item in known if item["available"]}
+        expected_targets = set(TARGETS) if target == "everything" else {target}
+        described_targets = self.network.entries[entry].directory.describe()
+        linked_targets = {
+            item["target"] for item in described_targets if item["available"]
+        }
         pools = self.network.entries[entry].dispatcher._router.pool_by_service
-        pooled = {name for pool in pools.values() for name in pool.targets_by_id}
-        return linked >= wanted and pooled >= wanted
+        pooled_targets = {
+            name for pool in pools.values() for name in pool.targets_by_id
+        }
+        return linked_targets >= expected_targets and pooled_targets >= expected_targets
 
     def restart(self, name: str) -> None:
-        data_centre, port = self._places[name.removeprefix("sidecar-")]
+        data_centre, port = self._locations[name.removeprefix("sidecar-")]
         if name.startswith("sidecar-"):
             target = name.removeprefix("sidecar-")
             assert self.network.start_sidecar(target, data_centre, port)
@@ -126,13 +130,15 @@
 
     def stop(self, name: str) -> None:
         node = self.network.sidecars.get(name) or self.network.entries[name]
-        ended = self._stop_entry(node) if name in self.network.entries else node.stop()
+        stop_coroutine = (
+            self._stop_entry(node) if name in self.network.entries else node.stop()
+        )
         self.stopped[name] = False
 
-        def done(_: Any) -> None:
+        def record_stopped(_: Any) -> None:
             self.stopped[name] = True
 
-        Deferred.fromCoroutine(ended).addCallback(done)
+        Deferred.fromCoroutine(stop_coroutine).addCallback(record_stopped)
 
     async def _stop_entry(self, entry: Any) -> None:
         await entry.leave()
@@ -150,11 +156,11 @@
     def resume(self, name: str) -> None:
         self.network.processes[name].resume()
 
-    def cut(self, one: str, other: str) -> None:
-        self.network.cut(one, other)
+    def cut(self, entry: str, sidecar: str) -> None:
+        self.network.cut(entry, sidecar)
 
-    def heal(self, one: str, other: str) -> None:
-        self.network.heal(one, other)
+    def heal(self, entry: str, sidecar: str) -> None:
+        self.network.heal(entry, sidecar)
 
     def outage(self) -> None:
         self.network.memory.set_down(True)
@@ -249,7 +255,7 @@
     def started_at(self, target: str) -> int:
         return len(self.network.targets[target].started)
 
-    def orders_of(self, target: str) -> tuple[list[int], int]:
+    def order_history(self, target: str) -> tuple[list[int], int]:
         engine = self.network.targets[target]
         return engine.begun, engine.overlaps
 
@@ -267,43 +273,53 @@
         return all(self.is_version(version, name) for name in live)
 
     def stranger(self, sidecar: str) -> None:
-        raise NotImplementedError("proof of the key is tested on real connections")
-
-    def race(self, target: str, role: str, other: str) -> None:
-        """Two operators change the configuration from the same version."""
-        base = self._current_version()
-        for name, document in (("first", role), ("second", other)):
-            changed = json.loads(json.dumps(self.document))
-            changed["targets"][target]["role"] = document
-            accepted = msgspec.convert(changed, Configuration)
-            pending = Deferred.fromCoroutine(
+        raise NotImplementedError(
+            "authentication of peers is tested on real connections only"
+        )
+
+    def race(self, target: str, first_role: str, second_role: str) -> None:
+        """Apply two changes of the configuration, both based on the same version."""
+        base_version = self._current_version()
+        for name, new_role in (("first", first_role), ("second", second_role)):
+            changed_document = json.loads(json.dumps(self.document))
+            changed_document["targets"][target]["role"] = new_role
+            accepted = msgspec.convert(changed_document, Configuration)
+            deferred = Deferred.fromCoroutine(
                 porcelain.apply_configuration(
-                    self.network.memory, accepted, name, against=base
+                    self.network.memory, accepted, name, against=base_version
+                )
+            )
+            deferred.addCallback(
+                lambda result, operator=name: self.race_outcomes.update(
+                    {operator: result}
                 )
             )
-            pending.addCallback(lambda out, who=name: self.racers.update({who: out}))
 
     def _current_version(self) -> int:
         stored = self.network.memory._read("pimentolink/configuration").data
         return json.loads(stored)["version"]
 
     def is_lost_race(self, name: str) -> bool:
-        return isinstance(self.racers[name], Err)
+        return isinstance(self.race_outcomes[name], Err)
 
 
 class RealWorld(BaseWorld):
-    """Processes on loopback, with a relay before each sidecar that can be cut."""
+    """
+    Runs real processes on the loopback interface.
+
+    Entries connect to each sidecar through a relay, which can cut the connection.
+    """
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.results: dict[str, dict[str, Any]] = {}
         self.threads: dict[str, threading.Thread] = {}
         self.wanted: dict[str, str] = {}
-        self.racers: dict[str, int] = {}
+        self.race_outcomes: dict[str, int] = {}
         self.relays: dict[str, RelayControl] = {}
         self.document = configuration()
-        self._places: dict[str, Any] = {}
-        self._codes: dict[str, int] = {}
+        self._locations: dict[str, Any] = {}
+        self._exit_codes: dict[str, int] = {}
         fleet.start_platform(lag=0.5)
         for name, target in self.document["targets"].items():
             is_engine = name.startswith("engine")
@@ -314,14 +330,14 @@
         fleet.apply(self.document)
 
     def _start_sidecar(self, target: str, data_centre: str) -> None:
-        if target not in self._places:
-            self._places[target] = (data_centre, f"127.0.0.1:{free_port()}")
-            address = self._places[target][1]
+        if target not in self._locations:
+            self._locations[target] = (data_centre, f"127.0.0.1:{free_port()}")
+            address = self._locations[target][1]
             control = f"127.0.0.1:{free_port()}"
             options = ("--to", address, "--control", control)
             self.fleet.start(f"relay-{target}", "tools.relay", *options)
             self.relays[target] = RelayControl(control)
-        data_centre, address = self._places[target]
+        data_centre, address = self._locations[target]
         self.fleet.start_sidecar(
             target,
             data_centre,
@@ -339,7 +355,7 @@
         return True
 
     def start_entry(self, name: str, data_centre: str) -> None:
-        self._places[name] = (data_centre, None)
+        self._locations[name] = (data_centre, None)
         self.fleet.start_entry(
             name,
             data_centre,
@@ -351,22 +367,22 @@
     def restart(self, name: str) -> None:
         if name.startswith("sidecar-"):
             target = name.removeprefix("sidecar-")
-            self._start_sidecar(target, self._places[target][0])
+            self._start_sidecar(target, self._locations[target][0])
             self.fleet.settle()
         else:
-            self.start_entry(name, self._places[name][0])
+            self.start_entry(name, self._locations[name][0])
 
     def stop(self, name: str) -> None:
         process = self.fleet.processes_by_name[name]
 
         def wait() -> None:
-            self._codes[name] = process.stop()
+            self._exit_codes[name] = process.stop()
 
         self.threads[f"stop-{name}"] = threading.Thread(target=wait)
         self.threads[f"stop-{name}"].start()
 
     def is_ended(self, name: str, code: int) -> bool:
-        return self._codes.get(name) == code
+        return self._exit_codes.get(name) == code
 
     def kill(self, name: str) -> None:
         self.fleet.processes_by_name[name].kill()
@@ -384,18 +400,18 @@
         self.relays[sidecar.removeprefix("sidecar-")].heal()
 
     def outage(self) -> None:
-        self._fault({"down": True})
+        self._inject_store_fault({"down": True})
 
     def recovery(self) -> None:
-        self._fault({"down": False})
+        self._inject_store_fault({"down": False})
 
     def lose(self, count: int) -> None:
-        self._fault({"lose_answers": count})
+        self._inject_store_fault({"lose_answers": count})
 
     def delay(self, seconds: float) -> None:
-        self._fault({"delay": seconds})
+        self._inject_store_fault({"delay": seconds})
 
-    def _fault(self, fault: dict[str, Any]) -> None:
+    def _inject_store_fault(self, fault: dict[str, Any]) -> None:
         call(self.fleet.url("key_value", "/faults"), "PUT", fault)
 
     def slow(self, name: str, seconds: float) -> None:
@@ -406,29 +422,33 @@
         self.fleet.apply(self.document)
 
     def drain(self, target: str) -> None:
-        self._operate("target", "drain", target)
+        self._run_operator_command("target", "drain", target)
 
     def restore(self, target: str) -> None:
-        self._operate("target", "return", target)
+        self._run_operator_command("target", "return", target)
 
-    def _operate(self, *arguments: str) -> None:
+    def _run_operator_command(self, *arguments: str) -> None:
         platform = str(self.fleet.folder / "platform.json")
-        done = self.fleet.command(*arguments, "--platform", platform)
-        assert done.returncode == 0, done.stderr
+        completed = self.fleet.command(*arguments, "--platform", platform)
+        assert completed.returncode == 0, completed.stderr
 
-    def race(self, target: str, role: str, other: str) -> None:
+    def race(self, target: str, first_role: str, second_role: str) -> None:
         platform = str(self.fleet.folder / "platform.json")
-        shown = self.fleet.command("config", "show", "--platform", platform)
-        base = json.loads(shown.stdout)["version"]
+        show_result = self.fleet.command("config", "show", "--platform", platform)
+        base_version = json.loads(show_result.stdout)["version"]
         threads = []
-        for name, wanted in (("first", role), ("second", other)):
-            self.document["targets"][target]["role"] = wanted
+        for name, new_role in (("first", first_role), ("second", second_role)):
+            self.document["targets"][target]["role"] = new_role
             path = str(self.fleet.write(f"race-{name}", self.document))
             arguments = ["config", "apply", path, "--platform", platform]
 
-            def apply(who: str = name, words: list[str] = arguments) -> None:
-                done = self.fleet.command(*words, "--against", str(base))
-                self.racers[who] = done.returncode
+            def apply(
+                operator: str = name, command_arguments: list[str] = arguments
+            ) -> None:
+                completed = self.fleet.command(
+                    *command_arguments, "--against", str(base_version)
+                )
+                self.race_outcomes[operator] = completed.returncode
 
             threads.append(threading.Thread(target=apply))
             threads[-1].start()
@@ -438,7 +458,7 @@
             thread.join()
 
     def is_lost_race(self, name: str) -> bool:
-        return self.racers[name] == 4
+        return self.race_outcomes[name] == 4
 
     def send(
         self, name: str, service: str, entry: str, key: str | None, tokens: int | None
@@ -457,16 +477,18 @@
     ) -> None:
         url = self.fleet.url(entry, f"/services/{service}/send")
         headers = {"idempotency-key": key}
-        self._finish(result, url, key.encode(), headers)
+        self._call_and_record(result, url, key.encode(), headers)
 
     def _call_model(
         self, name: str, result: Any, service: str, entry: str, _: Any, count: int
     ) -> None:
         url = self.fleet.url(entry, "/v1/completions")
         body = {"model": service, "prompt": name, "max_tokens": count, "stream": True}
-        asked = urllib.request.Request(url, json.dumps(body).encode(), method="POST")
+        http_request = urllib.request.Request(
+            url, json.dumps(body).encode(), method="POST"
+        )
         try:
-            with urllib.request.urlopen(asked, timeout=40.0) as response:
+            with urllib.request.urlopen(http_request, timeout=40.0) as response:
                 self._read_stream(result, response)
         except urllib.error.HTTPError as error:
             result.update(status=error.code, error=json.load(error)["error"])
@@ -488,7 +510,9 @@
             result["tokens"] += 1
         result.update(status=0, error={"ran": True, "code": "broken off"})
 
-    def _finish(self, result: Any, url: str, body: bytes, headers: Any) -> None:
+    def _call_and_record(
+        self, result: Any, url: str, body: bytes, headers: Any
+    ) -> None:
         try:
             reply = call(url, "POST", body, headers, timeout=40.0)
         except OSError as error:
@@ -514,56 +538,56 @@
         counts = [call(self.fleet.url(name, "/runs")).json for name in names]
         return sum(count.get(key, 0) for count in counts)
 
-    def _state(self, target: str) -> Any:
+    def _target_state(self, target: str) -> Any:
         return call(self.fleet.url(target, "/state")).json
 
     def is_role(self, target: str, role: str) -> bool:
-        return self._state(target)["role"] == role
+        return self._target_state(target)["role"] == role
 
     def is_under_order(self, target: str) -> bool:
-        return self._state(target)["ordering"] is not None
+        return self._target_state(target)["ordering"] is not None
 
     def started_at(self, target: str) -> int:
-        return self._state(target)["started"]
+        return self._target_state(target)["started"]
 
-    def orders_of(self, target: str) -> tuple[list[int], int]:
-        state = self._state(target)
-        done = [order["fencing_number"] for order in state["orders_done"]]
-        return done, state["overlaps"]
+    def order_history(self, target: str) -> tuple[list[int], int]:
+        state = self._target_state(target)
+        fencing_numbers = [order["fencing_number"] for order in state["orders_done"]]
+        return fencing_numbers, state["overlaps"]
 
     def is_nothing_cut(self, target: str) -> bool:
-        return self._state(target)["cut_off"] == 0
+        return self._target_state(target)["cut_off"] == 0
 
     def is_tokens(self, name: str, count: int) -> bool:
         return self.results[name]["tokens"] >= count
 
-    def _status(self, entry: str) -> Any:
+    def _entry_status(self, entry: str) -> Any:
         headers = {"authorization": f"Bearer {SHARED_KEY}"}
         return call(self.fleet.url(entry, "/pimentolink/status"), headers=headers).json
 
     def is_reaches(self, entry: str, target: str) -> bool:
         return any(
             item["target"] == target and item["available"]
-            for item in self._status(entry)["targets"]
+            for item in self._entry_status(entry)["targets"]
         )
 
     def is_version(self, version: int, name: str) -> bool:
         if name.startswith("sidecar-"):
             log = self.fleet.processes_by_name[name].log_path.read_text()
             return f'"version": {version}, "event": "configuration_adopted"' in log
-        return self._status(name)["configuration_version"] == version
+        return self._entry_status(name)["configuration_version"] == version
 
     def is_version_everywhere(self, version: int) -> bool:
         names = [
             name
             for name, process in self.fleet.processes_by_name.items()
-            if process.is_running and (name in self._places or "sidecar-" in name)
+            if process.is_running and (name in self._locations or "sidecar-" in name)
         ]
-        ours = [name for name in names if name not in TARGETS]
-        return all(self.is_version(version, name) for name in ours)
+        pimentolink_names = [name for name in names if name not in TARGETS]
+        return all(self.is_version(version, name) for name in pimentolink_names)
 
     def stranger(self, sidecar: str) -> None:
-        """A peer without the key sends a submission straight to a sidecar."""
+        """Send a request to a sidecar from a peer that does not have the shared key."""
         import socket
         import struct
 
@@ -577,18 +601,18 @@
             idempotency_key="stranger",
         )
         hello = link_pb2.EntryHello(instance_id="x", nonce=b"n" * 16, proof=b"p" * 32)
-        _, port = self._places[sidecar.removeprefix("sidecar-")][1].split(":")
+        _, port = self._locations[sidecar.removeprefix("sidecar-")][1].split(":")
         messages = (
             link_pb2.EntryMessage(hello=hello),
             link_pb2.EntryMessage(submit=submit),
         )
-        with socket.create_connection(("127.0.0.1", int(port))) as stranger:
+        with socket.create_connection(("127.0.0.1", int(port))) as connection:
             for message in messages:
                 data = message.SerializeToString()
-                stranger.sendall(struct.pack("!I", len(data)) + data)
-            stranger.settimeout(5.0)
+                connection.sendall(struct.pack("!I", len(data)) + data)
+            connection.settimeout(5.0)
             try:
-                while stranger.recv(4096):
+                while connection.recv(4096):
                     pass
             except ConnectionError:
                 pass
--- a/tools/enginemodel.py
+++ b/tools/enginemodel.py
@@ -1,4 +1,4 @@
-"""A model's engine in virtual time: reads prompts one by one, writes many answers."""
+"""Simulates an inference engine with serial prefill and concurrent decodes."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 class EngineFigures(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """
-    How fast modelled engines are.
+    Performance parameters of simulated engines.
 
-    :ivar read_rate: prompt tokens a second that a reader reads.
-    :ivar writer_share: share of that rate at an engine that also writes answers.
-    :ivar overhead: seconds of a reading besides its tokens.
-    :ivar step: seconds between two tokens of an answer on an idle engine.
-    :ivar slots: answers that an engine writes at once; with all of them, a step takes
+    :ivar read_rate: prefill rate of an engine, in prompt tokens per second.
+    :ivar writer_share: prefill rate of a decode engine, as a fraction of ``read_rate``.
+    :ivar overhead: fixed time per prefill, in seconds.
+    :ivar step: time per output token on an idle engine, in seconds.
+    :ivar slots: nominal number of concurrent decodes; at this number a step takes
         twice as long.
-    :ivar cache_tokens: that its memory holds.
-    :ivar copy_rate: tokens a second that go over the link between two engines.
+    :ivar cache_tokens: capacity of the prefix cache, in tokens.
+    :ivar copy_rate: rate of KV cache transfers between engines, in tokens per second.
     """
 
     read_rate: float
@@ -37,118 +37,119 @@
 
 class ModelEngine:
     """
-    One engine.
+    A simulated engine with a prefix cache that evicts the least recently used parts.
 
-    Its memory forgets the least recently used parts. A prompt that it began to read is
-    held for those that it reads next, and for other engines once the reading is done.
+    It runs in virtual time. Later prompts on this engine can reuse a prompt as soon as
+    its prefill is queued; other engines can fetch it once the prefill is complete.
     """
 
     def __init__(
         self, name: str, role: EngineRole, figures: EngineFigures, timers: Timers
     ) -> None:
         """
-        Start idle and empty.
+        Create an idle engine with an empty cache.
 
-        :param name: of the engine.
-        :param role: whether it reads for others or writes.
-        :param figures: its speed.
-        :param timers: virtual time.
+        :param name: name of the engine.
+        :param role: role of the engine; a decode engine prefills more slowly.
+        :param figures: performance parameters.
+        :param timers: the virtual clock.
         """
         self.name = name
         self.role = role
         self.figures = figures
         self._timers = timers
-        self._writing = 0
-        # In order, so that a replay repeats.
-        self._waiters: dict[Deferred[None], None] = {}
+        self._active_decodes = 0
+        # A dict keeps insertion order, which makes replays deterministic.
+        self._pending_waits: dict[Deferred[None], None] = {}
         self.speed = 1.0
         self.tokens_read = 0
         self.born = 0
         self.start_again()
 
     def start_again(self) -> None:
-        """Begin a new life, which holds nothing of the one before."""
+        """Restart with an empty cache, as a new incarnation of the engine."""
         self.born += 1
         self.is_lost = False
-        self._held = PrefixCacheEstimate(self.name)
-        self._held.capacity_tokens = self.figures.cache_tokens
-        # What it will hold once all is read that was sent here.
-        self._planned = PrefixCacheEstimate(self.name)
-        self._planned.capacity_tokens = self.figures.cache_tokens
-        self._reading_until = 0.0
+        self._cache = PrefixCacheEstimate(self.name)
+        self._cache.capacity_tokens = self.figures.cache_tokens
+        # Expected contents of the cache when all queued prefills are complete.
+        self._planned_cache = PrefixCacheEstimate(self.name)
+        self._planned_cache.capacity_tokens = self.figures.cache_tokens
+        self._prefill_busy_until = 0.0
 
     def lose(self) -> None:
-        """Crash: whatever was under way fails, and nothing is taken any more."""
+        """Crash: fail all work in progress and refuse new work until the restart."""
         self.is_lost = True
-        waiters, self._waiters = self._waiters, {}
-        for waiter in waiters:
+        interrupted_waits, self._pending_waits = self._pending_waits, {}
+        for waiter in interrupted_waits:
             waiter.errback(ConnectionBroken(f"{self.name} crashed"))
 
     async def read(
         self, parts: tuple[PromptPart, ...], source: ModelEngine | None
     ) -> None:
         """
-        Read a prompt after those that came before it.
+        Prefill a prompt, after the prefills that are already queued.
 
-        :param source: an engine from which it fetches what that one holds.
-        :raises ConnectionBroken: if it crashes.
+        :param source: engine to fetch the KV cache from, as far as it has cached the
+            prompt.
+        :raises ConnectionBroken: if the engine crashes meanwhile.
         """
         now = self._timers.now()
-        begins = max(now, self._reading_until)
-        held = self._planned.held_tokens(parts)
-        there = source._held.held_tokens(parts) if source is not None else 0
-        copied = max(0, there - held)
-        tokens = max(1, sum(part.tokens for part in parts) - held - copied)
-        took = self.figures.overhead + tokens / self._read_rate()
-        took += copied / self.figures.copy_rate
-        self._reading_until = begins + took
+        prefill_start = max(now, self._prefill_busy_until)
+        cached_tokens = self._planned_cache.held_tokens(parts)
+        source_tokens = source._cache.held_tokens(parts) if source is not None else 0
+        copied = max(0, source_tokens - cached_tokens)
+        tokens = max(1, sum(part.tokens for part in parts) - cached_tokens - copied)
+        prefill_time = self.figures.overhead + tokens / self._effective_prefill_rate()
+        prefill_time += copied / self.figures.copy_rate
+        self._prefill_busy_until = prefill_start + prefill_time
         self.tokens_read += tokens
-        self._planned.note(parts)
-        await self._wait(begins + took - now)
-        self._held.note(parts)
+        self._planned_cache.note(parts)
+        await self._wait(prefill_start + prefill_time - now)
+        self._cache.note(parts)
 
-    def _read_rate(self) -> float:
+    def _effective_prefill_rate(self) -> float:
         share = self.figures.writer_share if self.role is EngineRole.DECODE else 1.0
         return self.figures.read_rate * share * self.speed
 
     async def fetch(self, parts: tuple[PromptPart, ...]) -> None:
         """
-        Fetch the KV cache of a prompt that another engine read.
+        Fetch the KV cache of a prompt that another engine has prefilled.
 
-        :raises ConnectionBroken: if this one crashes.
+        :raises ConnectionBroken: if this engine crashes meanwhile.
         """
-        missing = sum(part.tokens for part in parts) - self._held.held_tokens(parts)
+        missing = sum(part.tokens for part in parts) - self._cache.held_tokens(parts)
         await self._wait(missing / self.figures.copy_rate)
-        self._planned.note(parts)
-        self._held.note(parts)
+        self._planned_cache.note(parts)
+        self._cache.note(parts)
 
     async def write(self, tokens: int) -> None:
         """
-        Write an answer.
+        Decode an answer.
 
-        :raises ConnectionBroken: if it crashes.
+        :raises ConnectionBroken: if the engine crashes meanwhile.
         """
-        self._writing += 1
+        self._active_decodes += 1
         try:
-            crowd = 1 + self._writing / self.figures.slots
-            await self._wait(tokens * self.figures.step * crowd / self.speed)
+            batch_slowdown = 1 + self._active_decodes / self.figures.slots
+            await self._wait(tokens * self.figures.step * batch_slowdown / self.speed)
         finally:
-            self._writing -= 1
+            self._active_decodes -= 1
 
     async def _wait(self, seconds: float) -> None:
         if self.is_lost:
             raise NotListening(f"{self.name} has ended")
         waiter: Deferred[None] = Deferred()
-        self._waiters[waiter] = None
+        self._pending_waits[waiter] = None
 
-        def over() -> None:
-            if waiter in self._waiters:
-                del self._waiters[waiter]
+        def complete_wait() -> None:
+            if waiter in self._pending_waits:
+                del self._pending_waits[waiter]
                 waiter.callback(None)
 
-        timer = self._timers.call_later(seconds, over)
+        timer = self._timers.call_later(seconds, complete_wait)
         try:
             await waiter
         finally:
-            self._waiters.pop(waiter, None)
+            self._pending_waits.pop(waiter, None)
             timer.cancel()
--- a/tools/streams.py
+++ b/tools/streams.py
@@ -1,4 +1,4 @@
-"""Holds many streamed completions open at one entry and counts their tokens."""
+"""Load generator that measures the token rate of concurrent streamed completions."""
 
 from __future__ import annotations
 
@@ -8,23 +8,28 @@
 import time
 
 
-class Stream(asyncio.Protocol):
-    """One caller: asks again as soon as its answer has ended."""
+class StreamingClient(asyncio.Protocol):
+    """Client that sends its request again as soon as the response has ended."""
 
     def __init__(self, counts: list[int], request: bytes) -> None:
-        """Share the counters ``[tokens, answers, failures]``."""
+        """
+        Prepare a client.
+
+        :param counts: counters ``[tokens, answers, failures]``, shared by all clients.
+        :param request: the HTTP request to send.
+        """
         self._counts = counts
         self._request = request
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Ask."""
+        """Send the first request."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.write(self._request)
 
     def data_received(self, data: bytes) -> None:
-        """Count tokens; ask again after the end."""
+        """Count tokens; send the request again when the response has ended."""
         self._counts[0] += data.count(b'"finish_reason":null')
         if b"[DONE]" in data:
             self._counts[1] += 1
@@ -32,12 +37,21 @@
             self._transport.write(self._request)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Count a failure."""
+        """Count the lost connection as a failure."""
         self._counts[2] += 1
 
 
 async def run(address: str, streams: int, tokens: int, seconds: float) -> None:
-    """Hold streams for a while; print the steady rate as JSON."""
+    """
+    Run concurrent streams and print their throughput as JSON.
+
+    The measurement starts after a warm-up of a third of its duration.
+
+    :param address: host and port of the entry.
+    :param streams: number of concurrent connections.
+    :param tokens: tokens of each answer.
+    :param seconds: duration of the measurement.
+    """
     host, _, port = address.rpartition(":")
     body = json.dumps(
         {"model": "m", "prompt": "p", "max_tokens": tokens, "stream": True}
@@ -47,15 +61,17 @@
     counts = [0, 0, 0]
     loop = asyncio.get_running_loop()
     for _ in range(streams):
-        await loop.create_connection(lambda: Stream(counts, request), host, int(port))
+        await loop.create_connection(
+            lambda: StreamingClient(counts, request), host, int(port)
+        )
     await asyncio.sleep(seconds / 3)
-    start, before = time.monotonic(), list(counts)
+    start, counts_before = time.monotonic(), list(counts)
     await asyncio.sleep(seconds)
-    took = time.monotonic() - start
+    elapsed = time.monotonic() - start
     result = {
-        "tokens_per_second": (counts[0] - before[0]) / took,
-        "answers": counts[1] - before[1],
-        "failures": counts[2] - before[2],
+        "tokens_per_second": (counts[0] - counts_before[0]) / elapsed,
+        "answers": counts[1] - counts_before[1],
+        "failures": counts[2] - counts_before[2],
     }
     print(json.dumps(result), flush=True)
 
