--- a/pimentolink/adoption.py
+++ b/pimentolink/adoption.py
@@ -1,4 +1,4 @@
-"""Holds the configuration that a process acts on."""
+"""Holds the configuration that this process currently uses."""
 
 from __future__ import annotations
 
@@ -13,10 +13,15 @@
 
 class Adoption:
     """
-    Holds the accepted configuration that is in force in this process.
+    Holds the newest accepted configuration that this process has received.
 
-    Ensures that the configuration never reverts to an older version: only a higher
-    version replaces the one in force, whichever peer or store it comes from.
+    An accepted configuration is one as stored in the key-value service. The process
+    never reverts to an older version: only a higher version replaces the current one,
+    whichever peer or store it comes from.
+
+    :ivar accepted: the current configuration; ``None`` if there is none.
+    :ivar document: the same configuration as canonical JSON, to which patches are
+        applied; empty if there is none.
     """
 
     def __init__(self, log: Log) -> None:
@@ -32,23 +37,23 @@
 
     @property
     def version(self) -> int:
-        """Version in force; 0 if there is none."""
+        """Version of the current configuration; 0 if there is none."""
         return self.accepted.version if self.accepted else 0
 
     def subscribe(self, callback: Callable[[], None]) -> None:
         """
         Register a callback for changes.
 
-        :param callback: called after each change of the configuration in force.
+        :param callback: called after each change of the current configuration.
         """
         self._subscribers.append(callback)
 
     def offer(self, document: bytes) -> bool:
         """
-        Put a document into force if its version is newer.
+        Replace the current configuration if the document's version is higher.
 
         :param document: an accepted configuration as JSON.
-        :returns: whether it was put into force.
+        :returns: whether it was replaced.
         """
         try:
             accepted = msgspec.json.decode(document, type=AcceptedConfiguration)
@@ -66,13 +71,13 @@
 
     def offer_patch(self, patch: bytes, version: int, digest: str) -> bool:
         """
-        Apply a patch to the document in force.
+        Replace the current configuration by applying a patch to it.
 
-        :param patch: JSON merge patch.
+        :param patch: JSON merge patch (RFC 7396) from the previous version.
         :param version: version of the patched document.
         :param digest: digest of the patched document.
-        :returns: whether that version, or a newer one, is now in force; if not, the
-            whole document is needed.
+        :returns: whether the current version is now ``version`` or a higher one; if
+            not, the whole document is needed.
         """
         if version <= self.version:
             return True
@@ -98,7 +103,11 @@
         """
         Return how many partitions the claims of a service are spread over.
 
+        A claim is a stored record that a call with an idempotency key may run once; a
+        partition is the share of a service's claims that one sidecar at a time writes.
+
         :param service: the service's name.
+        :returns: 1 if there is no service of that name.
         """
         found = self.service(service)
         return found.claim_partitions if found is not None else 1
--- a/pimentolink/callersite.py
+++ b/pimentolink/callersite.py
@@ -14,8 +14,10 @@
 from pimentolink.timers import Timer, Timers
 
 JSON = b"application/json"
-# Seconds; several iterations of the event loop, each of which reads the bytes received.
-FINAL_READ_DELAY = 0.1
+# Seconds that an idle connection stays open after its timeout, so that bytes that have
+# already arrived are read first. Enough for several iterations of the event loop, each
+# of which reads the bytes received.
+FINAL_READ_WAIT = 0.1
 
 
 class BoundedRequest(WebRequest):
@@ -25,12 +27,13 @@
     timers: Timers
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
-        """Start the deadline by which the caller has to send the whole request."""
+        """Start the timer for the deadline of receiving the whole request."""
         super().__init__(*args, **kwargs)
         self._received = 0
         self._is_refused = False
+        # The setting limits the time for the whole request, not only for its head.
         self._deadline: Timer = self.timers.call_later(
-            self.limits.request_head, self._too_slow
+            self.limits.request_head, self._handle_deadline
         )
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
@@ -56,12 +59,13 @@
         super().process()
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        """Cancel the deadline when the caller has disconnected."""
+        """Cancel the timer when the caller has disconnected."""
         self._deadline.cancel()
         super().connectionLost(reason)
 
-    def _too_slow(self) -> None:
+    def _handle_deadline(self) -> None:
         if self._is_refused:
+            # The response was sent when the request was refused.
             self._transport().abortConnection()
             return
         failure = errors.CallerTooSlow("the request did not come whole in time")
@@ -85,8 +89,9 @@
     """
     A caller's connection, closed once it is idle.
 
-    Time during which the entry's process was stalled does not count as idle: a caller
-    whose bytes are still unread would lose the connection without a response.
+    After a stall of the entry's process, the idle timeout may expire before bytes that
+    arrived during the stall are read. The connection therefore stays open for another
+    short wait; otherwise such a caller would lose it without a response.
     """
 
     _is_final_wait = False
@@ -97,29 +102,28 @@
         super().dataReceived(data)
 
     def timeoutConnection(self) -> None:  # noqa: N802
-        """Close an idle connection if another short wait brings no bytes."""
+        """Close an idle connection if no bytes arrive during another short wait."""
         if self.requests:
-            return  # the current request has its own deadline
+            return  # a request is being received, with its own deadline, or processed
         if self._is_final_wait:
             super().timeoutConnection()
             return
         self._is_final_wait = True
-        self.setTimeout(FINAL_READ_DELAY)
+        self.setTimeout(FINAL_READ_WAIT)
 
 
-def make_site(interface: Resource, limits: CallerLimits, timers: Timers) -> Site:
+def make_site(resource: Resource, limits: CallerLimits, timers: Timers) -> Site:
     """
     Create the factory of callers' connections.
 
-    :param interface: handles requests.
-    :param limits: limits on requests.
+    :param resource: root resource, which handles the requests.
+    :param limits: limits on requests; ``request_head`` is also the idle timeout of a
+        connection.
     :param timers: the timer service.
     """
-    bounds = {"limits": limits, "timers": timers}
-    request_type = type("CallerRequest", (BoundedRequest,), bounds)
-    site: Any = Site(
-        interface, requestFactory=request_type, timeout=limits.request_head
-    )
+    attributes = {"limits": limits, "timers": timers}
+    request_type = type("CallerRequest", (BoundedRequest,), attributes)
+    site: Any = Site(resource, requestFactory=request_type, timeout=limits.request_head)
     site.protocol = CallerChannel
     site.displayTracebacks = False
     return cast(Site, site)
--- a/pimentolink/httptypes.py
+++ b/pimentolink/httptypes.py
@@ -6,8 +6,9 @@
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
-# Hop-by-hop headers and others that apply to one connection only.
-# :source: RFC 9110, section 7.6.1.
+# Headers that apply to one connection only: the hop-by-hop headers, and those that say
+# how a body is transferred (``trailer``, ``content-length``, ``expect``).
+# :source: RFC 9110, section 7.6.1, for the hop-by-hop headers.
 CONNECTION_HEADERS = frozenset(
     {
         b"connection",
@@ -30,14 +31,14 @@
     :param name: in lower case.
     :returns: the first value, or ``None`` if the header is missing.
     """
-    for found, value in headers:
-        if found.lower() == name:
+    for header_name, value in headers:
+        if header_name.lower() == name:
             return value
     return None
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Remove hop-by-hop headers, including those listed in ``Connection``."""
+    """Remove ``CONNECTION_HEADERS`` and the headers listed in ``Connection``."""
     listed = header_value(headers, b"connection") or b""
     dropped = {name.strip().lower() for name in listed.split(b",")}
     dropped |= CONNECTION_HEADERS
@@ -49,8 +50,8 @@
     A complete request.
 
     :ivar path: path and query as sent.
-    :ivar headers: in order, with the names as sent; a request to a target has no
-        headers of the connection, and gets its ``Content-Length`` when it is written.
+    :ivar headers: in order, with the names as sent; a request to a target contains none
+        of ``CONNECTION_HEADERS``, and is given a ``Content-Length`` when it is sent.
     """
 
     method: bytes
--- a/pimentolink/peermessages.py
+++ b/pimentolink/peermessages.py
@@ -11,8 +11,8 @@
 # an engine unavailable; a hundred times the slowest known role change.
 MAX_ROLE_CHANGE_TIME = 600.0
 
-# Upper bound on the queued work that a gateway may report, in engine seconds; an hour
-# of one engine.
+# Upper bound on the queued work that a gateway may report, in engine seconds
+# (seconds of work of one engine); an hour of one engine.
 MAX_QUEUED_WORK = 3600.0
 # Upper bound, in milliseconds, on the reported time for sending a prompt to an engine;
 # callers have disconnected by then.
@@ -20,16 +20,18 @@
 # Queued work is rounded to a multiple of this, in engine seconds, so that small changes
 # are not sent.
 QUEUED_WORK_STEP = 0.02
-# Maximum number of requests in one crash message, so that it fits into a datagram, and
-# of crashes in one message that clears a request.
+# Maximum number of requests in one :class:`TargetCrashed`, so that it fits into a
+# datagram.
 MAX_CRASH_FINGERPRINTS = 32
+# Maximum number of crashed targets in one :class:`SuspectCleared`.
 MAX_CRASHES = 64
 
 # Bounds on values received from other gateways. Without them, a faulty gateway could
-# make a target look idle, busy or changing its role for good.
+# make a target look idle, busy or changing its role permanently.
 _Natural = Annotated[int, msgspec.Meta(ge=0)]
 _QueuedWork = Annotated[float, msgspec.Meta(ge=0, le=MAX_QUEUED_WORK)]
 _TransmissionDelay = Annotated[int, msgspec.Meta(ge=0, le=MAX_TRANSMISSION_DELAY_MS)]
+# Digest of a request; all repetitions of the request have the same one.
 Fingerprint = Annotated[str, msgspec.Meta(pattern="^[0-9a-f]{32}$")]
 _RoleChangeTime = Annotated[float, msgspec.Meta(ge=0, le=MAX_ROLE_CHANGE_TIME)]
 
@@ -38,8 +40,8 @@
     """
     Hash a target's ID and start time to a four-byte key.
 
-    If the keys of two targets collide, they are mistaken for each other; only their
-    load estimates are then wrong.
+    If the keys of two targets collide, messages about one may be applied to the other;
+    their load estimates and the crashes recorded for them may then be wrong.
 
     :param born: when the target started, in Unix milliseconds; 0 if not known.
     """
@@ -53,9 +55,9 @@
     :ivar number: identifies the prefill among those of the sender's process.
     :ivar target: see :func:`target_key`.
     :ivar tokens: length of the prompt.
-    :ivar parts: the prompt's parts, each as its number and its tokens.
-    :ivar copied: tokens that the engine fetches from another engine first.
-    :ivar way_ms: milliseconds until the prompt has reached the engine over the
+    :ivar parts: the prompt's parts, each as its ID and its number of tokens.
+    :ivar copied: tokens whose KV cache the engine first fetches from another engine.
+    :ivar way_ms: predicted milliseconds for sending the prompt to the engine over the
         sender's link.
     """
 
@@ -69,7 +71,9 @@
 
 class PrefillEnded(msgspec.Struct, tag="e", array_like=True):
     """
-    A prefill ended; each gateway learns from this how long prefills take.
+    A prefill ended.
+
+    From this and :class:`PrefillStarted`, each gateway measures how long it took.
 
     :ivar number: identifies the prefill, see :class:`PrefillStarted`.
     :ivar target: see :func:`target_key`.
@@ -85,10 +89,10 @@
     """
     The prefills of the sender's process that have not ended.
 
-    Corrects for lost :class:`PrefillEnded` messages, which would leave prefills that
-    have ended counted as work of their engine. Without it, when full links dropped
-    datagrams, engines looked busy, prompts were rejected, and their retries kept the
-    links full.
+    Corrects for lost :class:`PrefillEnded` messages. Otherwise, prefills that have
+    ended would still count as work of their engine. Without this message, when
+    saturated links dropped datagrams, engines looked busy, prompts were rejected, and
+    their retries kept the links saturated.
 
     :ivar next_number: the lowest prefill number that this message does not cover.
     :ivar numbers: prefills below that number that have not ended.
@@ -103,11 +107,12 @@
     A gateway's requests in flight, by target.
 
     :ivar gateway: the sender's name.
-    :ivar counts_by_target: number of requests in flight.
+    :ivar counts_by_target: number of requests in flight, by target ID.
     :ivar is_whole: whether this is a full update, with no requests in flight at
         targets that are not listed; otherwise only changed counts are listed, so that
         the update does not delay responses to callers on a slow link.
-    :ivar waiting_by_service: engine seconds of the prompts queued at the gateway.
+    :ivar waiting_by_service: prefill work of the prompts queued at the gateway, in
+        engine seconds, by service.
     """
 
     gateway: str
@@ -118,9 +123,9 @@
 
 class RoleChanging(msgspec.Struct, tag="r", array_like=True):
     """
-    An engine was ordered to change its role.
+    An engine accepted an order to change its role.
 
-    :ivar seconds: for which the engine accepts no work.
+    :ivar seconds: how long the engine accepts no work.
     :ivar born: start time of the engine, in Unix milliseconds, so that the message
         does not apply after a restart.
     """
@@ -136,7 +141,8 @@
 
     :ivar target: see :func:`target_key`.
     :ivar fingerprints: identify the requests that were in flight there.
-    :ivar is_tried: whether each of them was a suspect request under trial there.
+    :ivar is_tried: whether each of them was a suspect that was on trial there, see
+        :class:`SuspectTried`.
     """
 
     target: _Natural
@@ -159,15 +165,23 @@
 
 
 class SuspectTried(msgspec.Struct, tag="t", array_like=True):
-    """A request suspected of crashing targets is on trial; others await the result."""
+    """
+    The sender begins the trial of a suspect; no other suspect is tried meanwhile.
+
+    A suspect is a request that was in flight at the crashes of at least two targets. In
+    a trial, it is sent on its own to one target, to find out whether it crashes it.
+
+    :ivar fingerprint: identifies the suspect.
+    """
 
     fingerprint: Fingerprint
 
 
 class SuspectCleared(msgspec.Struct, tag="k", array_like=True):
     """
-    A request did not cause the crashes during which it was in flight.
+    A request is no longer suspected of crashes during which it was in flight.
 
+    :ivar fingerprint: identifies the request.
     :ivar targets: the targets that crashed; see :func:`target_key`.
     """
 
@@ -179,7 +193,7 @@
     """
     The time of the sender's wall clock.
 
-    :ivar wall_ms: milliseconds since 1970.
+    :ivar wall_ms: Unix milliseconds.
     """
 
     wall_ms: _Natural
@@ -187,11 +201,18 @@
 
 class UsageCounts(msgspec.Struct, tag="u", array_like=True):
     """
-    How many requests of some organisations began to run in a time window.
-
-    :ivar life: identifies the process that counted them, not always the sender.
-    :ivar window: the window's number.
-    :ivar counts: totals so far, by organisation.
+    How many requests of the listed organisations started to run in one window.
+
+    A window is a fixed interval aligned to the Unix epoch, whose counts are reported
+    together.
+
+    :ivar life: identifies the process that counted them. This is not always the
+        sender: a gateway that stops, or that learns of a new leader, also sends the
+        counts of other gateways that it knows.
+    :ivar window: the window's number: Unix time divided by the window's length,
+        rounded down.
+    :ivar counts: number of requests since the window began, by organisation; one
+        message need not list all organisations.
     """
 
     life: str
@@ -215,7 +236,8 @@
 
     :ivar number: of the request.
     :ivar version: the configuration version that was verified as the newest.
-    :ivar epoch: epoch of the store that it was verified against.
+    :ivar epoch: epoch of the store that it was verified against; a restore of the
+        store from a backup increases the epoch.
     :ivar age_ms: milliseconds from the query that verified it to this reply.
     """
 
@@ -227,6 +249,8 @@
 
 LoadMessage = PrefillStarted | PrefillEnded | OpenPrefills | InFlight | RoleChanging
 SuspectMessage = TargetCrashed | SuspectTried | SuspectCleared
+# The gateways agree on a time of day by clock reports, and assign requests to windows
+# by that time.
 UsageMessage = ClockReport | UsageCounts
 VerificationMessage = VerificationRequest | VerificationReply
 Message = LoadMessage | SuspectMessage | UsageMessage | VerificationMessage
@@ -247,4 +271,8 @@
     """Sends messages to other gateways."""
 
     def broadcast(self, message: Message) -> None:
-        """Send to all other gateways of the cell; delivery is not guaranteed."""
+        """
+        Send a message to all other gateways of the cell, without guaranteed delivery.
+
+        A cell is a group of gateways and targets that exchange load updates.
+        """
--- a/pimentolink/settings.py
+++ b/pimentolink/settings.py
@@ -20,14 +20,14 @@
     str,
     Meta(
         pattern=r"^(\[[0-9a-f:.]+\]|[0-9]{1,3}(\.[0-9]{1,3}){3}):[0-9]{1,5}\Z",
-        description="IP number and port",
+        description="IP address and port",
     ),
 ]
 
 
 class PlatformSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    Addresses of the platform's services, and timeouts and retries of calls to them.
+    Key-value service and instance list: addresses, timeouts and retries of calls.
 
     :ivar key_value: address of the key-value service.
     :ivar instance_list: address of the instance list.
@@ -60,8 +60,8 @@
         its data centre first; if there are more, each entry chooses its own subset.
     :ivar silence: seconds without a message after which a link is considered lost.
     :ivar reconnect: seconds between connection attempts.
-    :ivar most_pending: maximum bytes buffered for a slow peer before its link is
-        closed.
+    :ivar most_pending: maximum bytes buffered for a process that reads its link too
+        slowly, before the link is closed.
     """
 
     heartbeat: Seconds = 3.0
@@ -77,11 +77,12 @@
     Limits for callers of an entry.
 
     :ivar body_bytes: maximum size of a request body.
-    :ivar in_flight: maximum number of concurrent requests.
+    :ivar in_flight: maximum number of concurrent requests of all callers together.
     :ivar buffered_bytes: maximum bytes that the operating system buffers for a slow
-        caller before reading from its target is paused.
+        caller before the entry stops reading the target's response.
     :ivar stall: seconds that a caller may leave its response unread.
-    :ivar request_head: seconds that a caller may take to send a request.
+    :ivar request_head: seconds that a caller may take to send a whole request; also the
+        idle timeout of its connection.
     """
 
     body_bytes: Count = 4_000_000
@@ -97,11 +98,14 @@
 
     :ivar attempts: maximum number of attempts for a request.
     :ivar budget_ratio: retries allowed per request, on average.
-    :ivar budget_reserve: retries allowed beyond the ratio.
-    :ivar backoff_first: seconds before the first retry after a refusal.
+    :ivar budget_reserve: maximum number of unused retries that accumulate for a burst;
+        an entry starts with this many.
+    :ivar backoff_first: half of the delay before the first retry, in seconds; the delay
+        doubles with each further attempt. The first retry after an attempt that may
+        have run is not delayed.
     :ivar backoff_most: seconds of the longest delay between attempts.
-    :ivar progress: seconds without a token after which a stream is moved to another
-        target.
+    :ivar progress: seconds without a token after which a started response is retried
+        at another target.
     """
 
     attempts: Count = 4
@@ -116,25 +120,33 @@
     """
     Selection of targets.
 
-    :ivar policy: load balancing policy.
+    The policy ``predicted_work`` chooses the target with the shortest predicted delay,
+    to which the costs below are added.
+
+    :ivar policy: load balancing policy: ``predicted_work`` as above,
+        ``least_in_flight`` chooses the target with the fewest attempts in flight from
+        this entry, ``round_robin`` chooses the targets in turn.
     :ivar split: whether engines in the role ``prefill`` process long prompts and
         transfer the KV cache to the engines that generate the response.
-    :ivar split_from: minimum number of prompt tokens to process for such a split.
+    :ivar split_from: minimum number of prompt tokens to process for a prompt to count
+        as long.
     :ivar prefill_rate: prompt tokens per second of an engine in the role ``mixed``.
-    :ivar prefill_role_rate: the same in the role ``prefill``.
-    :ivar decode_role_rate: the same in the role ``decode``.
+    :ivar prefill_role_rate: the same for an engine in the role ``prefill``.
+    :ivar decode_role_rate: the same for an engine in the role ``decode``.
     :ivar stream_cost: cost, in seconds, of each response in progress at a target.
     :ivar interference: additional cost, in seconds, of each response in progress that
         the prefill of a long prompt would slow down.
-    :ivar reader_preference: seconds of additional delay accepted at an engine in the
-        role ``prefill`` before a long prompt is processed elsewhere.
-    :ivar misplaced_cost: cost, in seconds, of a target whose role does not suit the
-        request.
+    :ivar reader_preference: cost, in seconds, of an engine in another role for a long
+        prompt, if an engine in the role ``prefill`` is available.
+    :ivar misplaced_cost: cost, in seconds, of an engine in the role ``prefill`` for a
+        short prompt, or for any prompt if ``split`` is off.
     :ivar remote_penalty: cost, in seconds, of a target in another data centre.
-    :ivar prefixes_kept: prompt prefixes remembered, with the targets that processed
-        them.
-    :ivar sample: number of targets compared for a request if there are many.
-    :ivar ejection_failures: consecutive failures after which a target is ejected.
+    :ivar prefixes_kept: maximum number of prompt prefixes that are remembered with the
+        targets that processed them.
+    :ivar sample: maximum number of targets of the entry's data centre that are
+        randomly chosen to be compared for a request.
+    :ivar ejection_failures: consecutive failures after which a target is ejected, that
+        is, gets no requests for a time.
     :ivar ejection_time: seconds of the first ejection; doubles with each further one.
     :ivar ejection_most: seconds of the longest ejection.
     """
@@ -163,26 +175,30 @@
     """
     Planning of engine roles.
 
-    :ivar interval: seconds between two planning rounds for the groups of the region.
+    A group is the engines of one service in one region that take orders from this
+    system. The plan of a group is the desired role, models and adapters of each engine.
+
+    :ivar interval: seconds between two planning rounds for the groups of the entry's
+        region.
     :ivar lease: seconds after which the planner lease of a group expires unless
         renewed.
     :ivar ask_again: average seconds between attempts of an entry to acquire the
-        planner lease of a group; the longest interval is 1.5 times as long and limits
-        how long a failed planner is not replaced.
+        planner lease of a group. An interval is at most 1.5 times as long, which limits
+        how long a group stays without a planner once the lease of a failed one expired.
     :ivar most_changing: maximum number of engines of a group that may be out of
-        service for orders at the same time.
-    :ivar lost_after: seconds without a link after which a changing engine is
-        considered lost and no longer delays changes of the others.
-    :ivar policy: ``fixed`` keeps the configured roles, ``mix`` follows the recent peak
-        of long prompts, ``threshold`` follows their current rate without hysteresis (a
-        baseline for comparison).
-    :ivar engine_rate: planned tokens of long prompts per second for an engine in the
-        role ``prefill``, with headroom for bursts.
+        service at the same time in order to reach their desired state.
+    :ivar lost_after: seconds after which an engine that does not serve while it changes
+        its state is considered lost and no longer delays changes of the others.
+    :ivar policy: ``fixed`` keeps the configured roles. ``mix`` sets the number of
+        engines in the role ``prefill`` by the recent peak rate of long prompts,
+        ``threshold`` by their current rate and without hysteresis, only for comparison.
+    :ivar engine_rate: tokens of long prompts per second that are planned for an engine
+        in the role ``prefill``, with headroom for bursts.
     :ivar smoothing: time constant, in seconds, of the average demand.
-    :ivar horizon: seconds for which a peak in demand is expected to recur. It reflects
-        the cost of a role change: a longer horizon causes fewer changes.
-    :ivar margin: fraction of an engine by which the demand must exceed the capacity
-        before another engine is changed.
+    :ivar horizon: seconds for which a peak in demand is expected to recur. A longer
+        horizon causes fewer role changes, which suits engines whose changes are costly.
+    :ivar margin: fraction of one engine's capacity by which the demand must exceed the
+        capacity before another engine is changed.
     """
 
     interval: Seconds = 0.5
@@ -199,7 +215,7 @@
 
 class EntrySettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    Settings of an entry.
+    Settings of an entry, the process that callers send their requests to.
 
     :ivar instance: name of this instance.
     :ivar data_centre: data centre of this instance.
@@ -232,7 +248,8 @@
 
     :ivar slots: maximum number of requests that the target processes concurrently.
     :ivar waiting: maximum number of queued requests.
-    :ivar aging: seconds in the queue that raise a request by one priority level.
+    :ivar aging: seconds of waiting in the queue after which a request rises by one
+        priority level.
     """
 
     slots: Count = 32
@@ -244,10 +261,15 @@
     """
     Claims for calls that must not be repeated.
 
+    A claim is a stored record that a call with an idempotency key may run once. The
+    claims of a service are spread over partitions, each written by one sidecar at a
+    time.
+
     :ivar commit_interval: seconds between two writes of a partition.
     :ivar retention: seconds that a claim is kept.
     :ivar most: maximum number of claims in a partition.
-    :ivar answers: responses kept in memory for callers that repeat a call.
+    :ivar answers: maximum number of responses kept in memory for callers that repeat a
+        call.
     """
 
     commit_interval: Seconds = 0.1
@@ -258,13 +280,14 @@
 
 class OrderSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    Execution of the plan.
+    How a sidecar orders its engine to reach the state that the plan gives it.
 
-    :ivar timeout: seconds after which an order is considered lost.
+    :ivar timeout: seconds after which an order that the engine still executes is
+        considered stuck.
     :ivar spread: maximum seconds of a random delay before a new sidecar reads the
         plan, for sidecars that start at the same time.
-    :ivar quiet: seconds that a new sidecar waits for orders of its predecessor that
-        may still reach the engine.
+    :ivar quiet: seconds that a new sidecar waits, since orders of the engine's previous
+        sidecar may still reach the engine; also the wait after an order was lost.
     """
 
     timeout: Seconds = 60.0
@@ -274,14 +297,14 @@
 
 class SidecarSettings(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """
-    Settings of a sidecar.
+    Settings of a sidecar, the process beside one target that queues its requests.
 
     :ivar instance: name of this instance.
     :ivar data_centre: data centre of this instance.
-    :ivar listen: address for entries; listening on it also ensures that a target has
-        only one sidecar.
+    :ivar listen: address for entries. A second sidecar of the target cannot listen on
+        it, so that a target has only one.
     :ivar advertise: address that entries connect to, if it differs from ``listen``.
-    :ivar target: name of the target that it serves.
+    :ivar target: name of the target that the sidecar serves.
     :ivar target_address: address of the target.
     :ivar shared_key: secret with which the processes authenticate to each other.
     :ivar target_timeout: seconds until a call to the target times out.
--- a/pimentolink/stalldetector.py
+++ b/pimentolink/stalldetector.py
@@ -1,4 +1,4 @@
-"""Detects that this process was suspended, so that it does not act on stale state."""
+"""Detects that this process did not run for a while, so that its state is stale."""
 
 from __future__ import annotations
 
@@ -7,15 +7,16 @@
 from pimentolink.logs import Log, LogEvent
 from pimentolink.timers import Repeater, Timers
 
-# Seconds between two checks, and how late a check must be to count as a stall; a busy
-# event loop is late by some tens of milliseconds.
+# Seconds between two checks.
 CHECK_INTERVAL = 0.1
+# Minimum lateness of a check, in seconds, that counts as a stall; a busy event loop is
+# late by some tens of milliseconds.
 MIN_STALL = 0.5
 
 
 class StallDetector:
     """
-    Compares the time between periodic checks with their interval.
+    Detects stalls by comparing the time between checks with the intended interval.
 
     The monotonic clock advances while a process is stopped, but not while its instance
     is suspended; the boot clock advances in both cases.
@@ -28,7 +29,7 @@
         Create the detector; :meth:`start` begins the checks.
 
         :param timers: the timer service.
-        :param log: receives events.
+        :param log: receives log events.
         :param on_stall: called after each stall.
         """
         self._timers = timers
@@ -51,8 +52,8 @@
         now, boot = self._timers.now(), self._timers.boot_time()
         elapsed = max(now - self._last_times[0], boot - self._last_times[1])
         self._last_times = (now, boot)
-        stall = elapsed - CHECK_INTERVAL
-        if stall < MIN_STALL:
+        stall_seconds = elapsed - CHECK_INTERVAL
+        if stall_seconds < MIN_STALL:
             return
-        self._log.write(LogEvent.FROZEN, seconds=round(stall, 3))
+        self._log.write(LogEvent.FROZEN, seconds=round(stall_seconds, 3))
         self._on_stall()
