--- a/pimentolink/attempts.py
+++ b/pimentolink/attempts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from pimentolink.errors import (
-    UNSENT,
+    NOT_SENT_FAILURES,
     Failure,
     LateAnswer,
     OutcomeUnknown,
@@ -66,7 +66,7 @@
 
         :param failure: its ``ran`` states whether the request may have run.
         """
-        if isinstance(failure, UNSENT):
+        if isinstance(failure, NOT_SENT_FAILURES):
             self.not_sent()
         elif failure.ran:
             self.ran()
--- a/pimentolink/authentication.py
+++ b/pimentolink/authentication.py
@@ -6,7 +6,11 @@
 
 from pimentolink.apikeys import Organisation, read_key
 from pimentolink.configurationage import ConfigurationAge
-from pimentolink.errors import USUAL_PAUSE, ConfigurationOutdated, Unauthenticated
+from pimentolink.errors import (
+    DEFAULT_RETRY_AFTER,
+    ConfigurationOutdated,
+    Unauthenticated,
+)
 from pimentolink.httptypes import Headers
 from pimentolink.routes import Route, RoutingTable
 
@@ -47,7 +51,7 @@
         if not self._age.is_current():
             self._age.log_transition()
             detail = "the configuration may be outdated"
-            return Err(ConfigurationOutdated(detail, USUAL_PAUSE))
+            return Err(ConfigurationOutdated(detail, DEFAULT_RETRY_AFTER))
         key = read_key(headers)
         if isinstance(key, Err):
             return key
--- a/pimentolink/cachelearning.py
+++ b/pimentolink/cachelearning.py
@@ -60,7 +60,7 @@
         self._random = random
         self._log = log
 
-    def ask_all(self) -> None:
+    def query_all(self) -> None:
         """Query every engine that is currently known."""
         for estimate in self._fleet.targets_by_id.values():
             if self._fleet.model(estimate.target.service) is not None:
@@ -69,14 +69,14 @@
 
     async def _query(self, estimate: TargetEstimate) -> None:
         await pause(self._timers, self._random.uniform(0.0, MAX_JITTER))
-        query = self._dialect.ask_parts(estimate)
+        query = self._dialect.cache_contents_request(estimate)
         try:
             call = self._send(estimate, query)
             reply = await with_timeout(self._timers, QUERY_TIMEOUT, call)
         except (Failure, TimeoutError) as error:
             self._log_result(estimate, 0, str(error))
             return
-        parsed = self._dialect.read_parts(reply)
+        parsed = self._dialect.read_cache_contents(reply)
         if isinstance(parsed, Err):
             self._log_result(estimate, 0, str(parsed.err_value))
             return
--- a/pimentolink/calls.py
+++ b/pimentolink/calls.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from pimentolink.dialect import CallerRequest, Dialect, Sending, Verdict
+from pimentolink.dialect import CallerRequest, Dialect, SendOptions, Verdict
 from pimentolink.errors import (
-    USUAL_PAUSE,
+    DEFAULT_RETRY_AFTER,
     CannotBeInTime,
     ConnectionBroken,
     Failure,
@@ -27,7 +27,7 @@
 from pimentolink.targethttp import ConnectionPool, TargetConnection, exchange
 from pimentolink.timers import Timers
 
-MAX_ANSWER_BYTES = 8_000_000
+MAX_RESPONSE_BYTES = 8_000_000
 
 
 class CallWatcher(Protocol):
@@ -91,7 +91,7 @@
     async def read_all(self) -> HttpReply:
         """Read the complete response."""
         assert self.head is not None
-        body = await self._connection.read_all(MAX_ANSWER_BYTES)
+        body = await self._connection.read_all(MAX_RESPONSE_BYTES)
         self._is_complete = True
         self.close()
         return HttpReply(self.head, body)
@@ -184,7 +184,7 @@
         address = estimate.target.address
         pool = ConnectionPool(self._reactor, address, self._settings, self._timers)
         try:
-            return await exchange(pool, message, lambda head: True, MAX_ANSWER_BYTES)
+            return await exchange(pool, message, lambda head: True, MAX_RESPONSE_BYTES)
         finally:
             pool.close()
 
@@ -200,7 +200,7 @@
         try:
             connection = await pool.open()
         except NotListening:
-            estimate.refused_connection(self._timers.now())
+            estimate.record_refused_connection(self._timers.now())
             return False
         except NotConnected:
             return True
@@ -219,7 +219,7 @@
         self,
         request: CallerRequest,
         estimate: TargetEstimate,
-        sending: Sending,
+        sending: SendOptions,
         is_once: bool = False,
     ) -> Call:
         """
@@ -232,7 +232,9 @@
         """
         if sending.time_left is not None and sending.time_left <= 0:
             # The event loop runs late, and so does the timer that ends the request.
-            raise CannotBeInTime("its time was over before it was sent", USUAL_PAUSE)
+            raise CannotBeInTime(
+                "its time was over before it was sent", DEFAULT_RETRY_AFTER
+            )
         await self._watcher.admit(request)
         message = self._dialect.sending(request, sending)
         return await self.send(request, estimate, message, is_once)
@@ -264,7 +266,7 @@
         )
         try:
             call.head = await connection.send(
-                message, lambda head: self._dialect.belongs(request, head)
+                message, lambda head: self._dialect.is_reply_to(request, head)
             )
             await self._check(call, call.head)
         except BaseException as error:
@@ -320,7 +322,7 @@
             return
         estimate.outcome(is_good=False)
         if isinstance(failure, NotListening):
-            estimate.refused_connection(now)
+            estimate.record_refused_connection(now)
         if isinstance(failure, ConnectionBroken | ReplyInvalid):
             self._watcher.connection_lost(estimate)
         counts_for_ejection = not isinstance(failure, RejectedUnrun | TargetFailed)
--- a/pimentolink/claimedcalls.py
+++ b/pimentolink/claimedcalls.py
@@ -18,7 +18,7 @@
     OutcomeUnknown,
 )
 from pimentolink.httpclient import Answer
-from pimentolink.outcomes import finish_of, finish_of_answer
+from pimentolink.outcomes import finish_from_answer, finish_from_failure
 
 
 class _ClaimedCall:
@@ -36,7 +36,7 @@
         self.attempts: list[Attempt] = []
 
 
-class ClaimSource:
+class ClaimPartitions:
     """Finds the partition that a claim belongs to; opens each partition once."""
 
     def __init__(
@@ -78,7 +78,7 @@
 
     def __init__(
         self,
-        claims: ClaimSource,
+        claims: ClaimPartitions,
         max_kept_answers: int,
         start_call: Callable[[Attempt, ClaimedListener], object],
         finish: Callable[[Attempt, link_pb2.Finish], None],
@@ -124,12 +124,12 @@
         known_fingerprint = call.fingerprint if call else self._answers_by_key[key][0]
         if known_fingerprint != fingerprint:
             failure = IdempotencyKeyReused("the key stands for another call")
-            self._finish(attempt, finish_of(failure))
+            self._finish(attempt, finish_from_failure(failure))
         elif call is not None:
             call.attempts.append(attempt)
         else:
             _, answer = self._answers_by_key[key]
-            self._finish(attempt, finish_of_answer(answer))
+            self._finish(attempt, finish_from_answer(answer))
         return True
 
     def start(self, attempt: Attempt) -> None:
@@ -162,7 +162,7 @@
         self._answers_by_key[call.key] = (call.fingerprint, answer)
         if len(self._answers_by_key) > self._max_kept_answers:
             self._answers_by_key.popitem(last=False)
-        self._finish_attempts(call, finish_of_answer(answer))
+        self._finish_attempts(call, finish_from_answer(answer))
 
     def failed(self, call: _ClaimedCall, failure: Failure) -> None:
         """
@@ -175,13 +175,13 @@
             self._release_claim(call, failure)
             return
         call.partition.settle(call.key, ClaimState.UNKNOWN)
-        self._finish_attempts(call, finish_of(OutcomeUnknown(str(failure))))
+        self._finish_attempts(call, finish_from_failure(OutcomeUnknown(str(failure))))
 
     def _claim_decided(
         self, call: _ClaimedCall, outcome: Result[None, Failure]
     ) -> None:
         if isinstance(outcome, Err):
-            self._finish_attempts(call, finish_of(outcome.err_value))
+            self._finish_attempts(call, finish_from_failure(outcome.err_value))
         elif not call.attempts or self._is_target_lost():
             self._release_claim(call, NotRun("nobody waits, or no target answers"))
         else:
@@ -189,7 +189,9 @@
 
     def _release_claim(self, call: _ClaimedCall, failure: Failure) -> None:
         stored = call.partition.release(call.key)
-        stored.addCallback(lambda _: self._finish_attempts(call, finish_of(failure)))
+        stored.addCallback(
+            lambda _: self._finish_attempts(call, finish_from_failure(failure))
+        )
 
     def _finish_attempts(self, call: _ClaimedCall, finish: link_pb2.Finish) -> None:
         del self._call_by_key[call.key]
--- a/pimentolink/configurationage.py
+++ b/pimentolink/configurationage.py
@@ -44,7 +44,7 @@
         """Return the time in seconds on the clock that :meth:`proven` expects."""
         return self._timers.boot_time()
 
-    def proven(self, asked_at: float, epoch: int) -> None:
+    def proven(self, requested_at: float, epoch: int) -> None:
         """
         Record that the configuration in force is the newest that the store has.
 
@@ -52,7 +52,7 @@
         than ``REWRITE_TIME`` after it was noticed verify nothing, since a revocation
         may be missing from the store until operators have rewritten it.
 
-        :param asked_at: when the verifying request was sent; see :meth:`clock`.
+        :param requested_at: when the verifying request was sent; see :meth:`clock`.
         :param epoch: epoch of the store that the response came from.
         """
         if self._epoch is not None and epoch < self._epoch:
@@ -60,10 +60,10 @@
         if self._epoch is not None and epoch > self._epoch:
             self._verifiable_from = self.clock() + REWRITE_TIME
         self._epoch = epoch
-        if not self._is_readable or asked_at < self._verifiable_from:
+        if not self._is_readable or requested_at < self._verifiable_from:
             return
-        if self._verified_at is None or asked_at > self._verified_at:
-            self._verified_at = asked_at
+        if self._verified_at is None or requested_at > self._verified_at:
+            self._verified_at = requested_at
         self.log_transition()
 
     def read(self, is_readable: bool) -> None:
--- a/pimentolink/configurationverifier.py
+++ b/pimentolink/configurationverifier.py
@@ -17,7 +17,7 @@
     VerificationReply,
     VerificationRequest,
 )
-from pimentolink.timers import Timers, in_background, pause
+from pimentolink.timers import Timers, pause, run_in_background
 
 # Fractions of the maximum age: the interval between verifications, and the age up to
 # which a verification by another gateway is accepted. Their sum leaves time for a
@@ -101,7 +101,7 @@
 
     def start(self) -> None:
         """Start periodic verification."""
-        self._running = in_background(self._run())
+        self._running = run_in_background(self._run())
 
     def stop(self) -> None:
         """Stop periodic verification."""
@@ -176,7 +176,7 @@
         return None if is_unresponsive else reader
 
     async def _verify_with_peer(self, gateway: str) -> bool:
-        asked_at = self._age.clock()
+        requested_at = self._age.clock()
         reply = await self._request_from_peer(gateway)
         if reply is None:
             self._unresponsive_peer = gateway
@@ -185,7 +185,7 @@
         age = reply.age_ms / 1000
         if reply.version > self.version() or age > PEER_MAX_AGE_SHARE * self._max_age:
             return False
-        self._age.proven(asked_at - age, reply.epoch)
+        self._age.proven(requested_at - age, reply.epoch)
         return True
 
     async def _request_from_peer(self, gateway: str) -> VerificationReply | None:
@@ -206,14 +206,14 @@
             waiting.callback(reply)
 
     async def _verify_with_store(self) -> bool:
-        asked_at = self._age.clock()
+        requested_at = self._age.clock()
         try:
             item = await self._keyspace.read(self._key)
         except KeyValueUnavailable:
             return False
         if item is not None:
             self._apply(item)
-            self._age.proven(asked_at, epoch_of(item.revision))
+            self._age.proven(requested_at, epoch_of(item.revision))
         return True
 
     def _apply(self, item: Item) -> None:
--- a/pimentolink/crashreports.py
+++ b/pimentolink/crashreports.py
@@ -18,7 +18,7 @@
     SuspectTried,
     crash_messages,
 )
-from pimentolink.suspects import Suspects
+from pimentolink.suspects import SuspectTracker
 from pimentolink.suspicion import MIN_SUSPECT_CRASHES
 from pimentolink.targetestimate import Target, TargetEstimate
 from pimentolink.timers import Timers, pause
@@ -41,7 +41,11 @@
     """
 
     def __init__(
-        self, suspects: Suspects, publisher: PeerPublisher, timers: Timers, log: Log
+        self,
+        suspects: SuspectTracker,
+        publisher: PeerPublisher,
+        timers: Timers,
+        log: Log,
     ) -> None:
         """
         Prepare.
--- a/pimentolink/daemon.py
+++ b/pimentolink/daemon.py
@@ -150,7 +150,7 @@
 
     reactor: Any = installed_reactor
     logs.configure()
-    logs.catch_unhandled(logs.Log())
+    logs.log_unhandled_errors(logs.Log())
     process = Process(reactor, make_service)
     reactor.callWhenRunning(process.start)
     reactor.run(installSignalHandlers=False)
--- a/pimentolink/deploymentstatus.py
+++ b/pimentolink/deploymentstatus.py
@@ -9,7 +9,7 @@
 from pimentolink.jsondocument import read_json
 from pimentolink.keyspace import Item, Snapshot
 from pimentolink.leadership import LEADER_KEY, Leader
-from pimentolink.membership import Documents
+from pimentolink.membership import DocumentReader
 from pimentolink.registration import GATEWAY_PREFIX, GatewayEntry
 from pimentolink.suspectstore import SUSPECT_PREFIX, StoredSuspects, SuspectDocument
 from pimentolink.targetestimate import Target
@@ -70,7 +70,7 @@
 class StatusReader:
     """Collects the status from the documents of a store."""
 
-    def __init__(self, documents: Documents) -> None:
+    def __init__(self, documents: DocumentReader) -> None:
         """
         Create a reader for one snapshot.
 
--- a/pimentolink/dialect.py
+++ b/pimentolink/dialect.py
@@ -81,7 +81,7 @@
     return digest.hexdigest()
 
 
-class Sending(NamedTuple):
+class SendOptions(NamedTuple):
     """
     Options of a request to one target.
 
@@ -137,10 +137,10 @@
     ) -> Result[CallerRequest, InvalidRequest]:
         """Parse a caller's request."""
 
-    def sending(self, request: CallerRequest, sending: Sending) -> HttpRequest:
+    def sending(self, request: CallerRequest, sending: SendOptions) -> HttpRequest:
         """Build the request to a target."""
 
-    def belongs(self, request: CallerRequest, head: ReplyHead) -> bool:
+    def is_reply_to(self, request: CallerRequest, head: ReplyHead) -> bool:
         """Return whether a response belongs to a request."""
 
     def verdict(self, head: ReplyHead) -> Verdict:
@@ -149,24 +149,28 @@
     def is_signed(self, head: ReplyHead) -> bool:
         """Return whether a target vouches for a response by its signature."""
 
-    def read_prompt(self, reply: HttpReply) -> Result[PrefilledPrompt, ReplyInvalid]:
+    def read_prefill_reply(
+        self, reply: HttpReply
+    ) -> Result[PrefilledPrompt, ReplyInvalid]:
         """Parse the response to a prefill request."""
 
     def cache_source(self, address: str, prompt: PrefilledPrompt) -> str:
         """Return the reference to a KV cache for the engine that is to fetch it."""
 
-    def drop_cache(self, address: str, prompt: PrefilledPrompt) -> HttpRequest:
+    def release_cache_request(
+        self, address: str, prompt: PrefilledPrompt
+    ) -> HttpRequest:
         """Build the request that frees a KV cache that no engine will fetch."""
 
-    def ask_parts(self, estimate: TargetEstimate) -> HttpRequest:
+    def cache_contents_request(self, estimate: TargetEstimate) -> HttpRequest:
         """Build the request for the contents of an engine's prefix cache."""
 
-    def read_parts(
+    def read_cache_contents(
         self, reply: HttpReply
     ) -> Result[tuple[PromptPart, ...], ReplyInvalid]:
         """Parse the contents of a prefix cache, least recently used part first."""
 
-    def ask_report(self, estimate: TargetEstimate) -> HttpRequest:
+    def report_request(self, estimate: TargetEstimate) -> HttpRequest:
         """Build the request for an engine's report of its state."""
 
     def read_report(self, reply: HttpReply) -> Result[EngineReport, ReplyInvalid]:
@@ -189,5 +193,5 @@
         :param fence: fencing token of that lease.
         """
 
-    def order_outcome(self, reply: HttpReply) -> Result[None, OrderRefused]:
+    def read_order_reply(self, reply: HttpReply) -> Result[None, OrderRefused]:
         """Parse the response to an order."""
--- a/pimentolink/dispatcher.py
+++ b/pimentolink/dispatcher.py
@@ -29,7 +29,7 @@
 )
 from pimentolink.logs import Log, LogEvent
 from pimentolink.outcomes import failure_from_finish, final_failure
-from pimentolink.prefixes import PrefixMemory
+from pimentolink.prefixes import PrefixIndex
 from pimentolink.request import Progress, Request
 from pimentolink.retry import RetryBudget
 from pimentolink.router import Router
@@ -88,7 +88,7 @@
         adoption: Adoption,
         directory: TargetDirectory,
         router: Router,
-        memory: PrefixMemory,
+        memory: PrefixIndex,
         timers: Timers,
         tracing: Tracing,
         log: Log,
@@ -208,7 +208,7 @@
             if event.HasField("finish") and not active.progress.is_over:
                 self._handle_finish(active, event.finish)
 
-    def move_stalled(self) -> None:
+    def retry_stalled_streams(self) -> None:
         """Retry each started response whose target has sent no token for too long."""
         now = self._timers.now()
         limit = self._settings.retry.progress
@@ -326,7 +326,7 @@
     def _uncached_prefill_tokens(self, progress: Progress, target: TargetState) -> int:
         """Predict the tokens to prefill: uncached prompt and tokens received so far."""
         request = progress.remaining_request
-        cached_tokens = self._memory.expected_tokens(request, target.target_id)
+        cached_tokens = self._memory.expected_cached_tokens(request, target.target_id)
         return max(1, request.prefill_tokens - cached_tokens) + len(progress.tokens)
 
     def _is_split(self, progress: Progress, target: TargetState) -> bool:
@@ -454,7 +454,7 @@
         if isinstance(failure, Draining):
             # The target did not fail: it may be tried again once it accepts work.
             report_interval = self._settings.links.load_interval
-            target.turned_work_away(self._timers.now() + report_interval)
+            target.suspend_until(self._timers.now() + report_interval)
             active.progress.tried_target_ids.remove(target.target_id)
         if not isinstance(failure, TargetFailed | CrossedAnswer):
             return
--- a/pimentolink/egressqueue.py
+++ b/pimentolink/egressqueue.py
@@ -18,16 +18,18 @@
     times slower than they were, and prompts were rejected while engines were idle.
     """
 
-    def __init__(self, megabits: float, timers: Timers) -> None:
+    def __init__(self, megabits_per_second: float, timers: Timers) -> None:
         """
         Create an empty queue.
 
-        :param megabits: link rate in Mbit/s; 0 if unknown, in which case the rate is
-            taken as unlimited.
+        :param megabits_per_second: link rate in Mbit/s; 0 if unknown, in which case
+            the rate is taken as unlimited.
         :param timers: the timer service.
         """
         self._seconds_per_byte = (
-            BITS_PER_BYTE / (megabits * BITS_PER_MEGABIT) if megabits else 0.0
+            BITS_PER_BYTE / (megabits_per_second * BITS_PER_MEGABIT)
+            if megabits_per_second
+            else 0.0
         )
         self._timers = timers
         self._free_at = 0.0
--- a/pimentolink/engines.py
+++ b/pimentolink/engines.py
@@ -7,7 +7,7 @@
 
 from pimentolink.errors import Failure, OrderLost, OrderRefused, TargetFailed
 from pimentolink.orders import EngineState
-from pimentolink.plan import Wanted
+from pimentolink.plan import DesiredState
 from pimentolink.settings import OrderSettings
 from pimentolink.targets import HttpTarget
 
@@ -47,7 +47,7 @@
         """Query the role, models and adapters of the engine."""
         return Deferred.fromCoroutine(self._state())
 
-    def order(self, wanted: Wanted, fencing_number: int) -> Deferred[None]:
+    def order(self, wanted: DesiredState, fencing_number: int) -> Deferred[None]:
         """Send an order; the result fires when it has taken effect."""
         return Deferred.fromCoroutine(self._order(wanted, fencing_number))
 
@@ -61,7 +61,7 @@
             body.role, body.models, body.adapters, body.ordering is not None
         )
 
-    async def _order(self, wanted: Wanted, fencing_number: int) -> None:
+    async def _order(self, wanted: DesiredState, fencing_number: int) -> None:
         order = {
             "role": wanted.role,
             "models": wanted.models,
--- a/pimentolink/entry.py
+++ b/pimentolink/entry.py
@@ -23,7 +23,7 @@
 from pimentolink.metrics import Metrics
 from pimentolink.plan import Group, Plan, decode_plan, groups_of
 from pimentolink.planner import Planner
-from pimentolink.prefixes import PrefixMemory
+from pimentolink.prefixes import PrefixIndex
 from pimentolink.roles import make_role_policy
 from pimentolink.router import Router, make_policy
 from pimentolink.settings import EntrySettings
@@ -85,7 +85,7 @@
         self._head: ConfigurationHead | None = None
         self._plan_followers: dict[Group, KeyFollower] = {}
         self._plan_by_group: dict[Group, tuple[Plan, int]] = {}
-        prefix_memory = PrefixMemory(settings.routing.prefixes_kept)
+        prefix_memory = PrefixIndex(settings.routing.prefixes_kept)
         policy = make_policy(
             settings.routing, settings.data_centre, prefix_memory, self._random
         )
@@ -130,7 +130,7 @@
         interval = self._settings.platform.list_interval
         self._list_poller = Repeater(self._timers, interval, self._read_sidecars)
         self._stall_checker = Repeater(
-            self._timers, STALL_CHECK_INTERVAL, self.dispatcher.move_stalled
+            self._timers, STALL_CHECK_INTERVAL, self.dispatcher.retry_stalled_streams
         )
         self._register(is_leaving=False)
         self.log.write(LogEvent.STARTED, address=self._settings.listen)
--- a/pimentolink/errors.py
+++ b/pimentolink/errors.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 # Seconds that a caller is told to wait before it retries, if no estimate is available.
-USUAL_PAUSE = 0.3
+DEFAULT_RETRY_AFTER = 0.3
 
 
 class Failure(Exception):
@@ -208,7 +208,7 @@
 
 # Failures of an attempt that reached no target: it does not count as an attempt and
 # consumes no retry budget.
-UNSENT = (NotListening, Quarantined)
+NOT_SENT_FAILURES = (NotListening, Quarantined)
 
 
 class LateAnswer(Failure):
--- a/pimentolink/executor.py
+++ b/pimentolink/executor.py
@@ -7,11 +7,11 @@
 
 from pimentolink import link_pb2
 from pimentolink.attempt import Attempt, AttemptKey
-from pimentolink.claimedcalls import ClaimedCalls, ClaimedListener, ClaimSource
+from pimentolink.claimedcalls import ClaimedCalls, ClaimedListener, ClaimPartitions
 from pimentolink.errors import Draining, Failure, NotRun, Overloaded, TargetFailed
 from pimentolink.httpclient import Answer
 from pimentolink.links import SidecarLink
-from pimentolink.outcomes import finish_of, finish_of_answer
+from pimentolink.outcomes import finish_from_answer, finish_from_failure
 from pimentolink.settings import QueueSettings
 from pimentolink.targetqueue import LOWEST_PRIORITY, TargetQueue, Waiting
 from pimentolink.targets import Target, TargetCall
@@ -45,7 +45,7 @@
         self,
         settings: QueueSettings,
         target: Target,
-        claims: ClaimSource,
+        claims: ClaimPartitions,
         timers: Timers,
         tracing: Tracing,
         max_kept_answers: int,
@@ -124,7 +124,7 @@
         )
         if not self.is_accepting:
             failure = Draining("the target takes no new work")
-            self._send_finish(attempt, finish_of(failure))
+            self._send_finish(attempt, finish_from_failure(failure))
             return
         if submit.idempotency_key:
             self._attempts_by_key[attempt.key] = attempt
@@ -180,7 +180,7 @@
         for attempt in lost:
             self._abandon(attempt)
 
-    def lose_target(self) -> None:
+    def mark_target_lost(self) -> None:
         """
         Fail queued and running attempts, since the target no longer responds.
 
@@ -239,7 +239,7 @@
 
     def fail(self, attempt: Attempt, failure: Failure) -> None:
         """Finish an attempt with a failure."""
-        self.finish(attempt, finish_of(failure))
+        self.finish(attempt, finish_from_failure(failure))
 
     def _send_finish(self, attempt: Attempt, finish: link_pb2.Finish) -> None:
         attempt.span.set_attribute("outcome", finish.error_code or "complete")
@@ -353,7 +353,7 @@
         self._executor.tokens(self._attempt, tokens)
 
     def finished(self, answer: Answer, finish_reason: str) -> None:
-        finish = finish_of_answer(answer)
+        finish = finish_from_answer(answer)
         finish.finish_reason = finish_reason
         if self._attempt.submit.prefill_only:
             finish.cache = finish.body
--- a/pimentolink/fleet.py
+++ b/pimentolink/fleet.py
@@ -95,7 +95,7 @@
         else:
             self._prefill_work_by_gateway.pop(gateway, None)
 
-    def waiting_elsewhere(self, service: str) -> float:
+    def prefill_work_at_peers(self, service: str) -> float:
         """Return the engine seconds of prefill work queued at other gateways."""
         return sum(
             work_by_service.get(service, 0.0)
@@ -254,7 +254,7 @@
         minimum = len(group) * (1 - self._ejection.most_share)
         return not_ejected if len(not_ejected) >= minimum else group
 
-    def forgive(self, now: float) -> None:
+    def clear_failures(self, now: float) -> None:
         """
         Clear all failures after a stall of this process, and ignore new ones briefly.
 
@@ -263,7 +263,7 @@
         """
         self._failures_ignored_until = now + STALL_GRACE
         for estimate in self.targets_by_id.values():
-            estimate.forgive()
+            estimate.clear_failures()
 
     def failed(self, estimate: TargetEstimate, now: float) -> bool:
         """
--- a/pimentolink/forwarder.py
+++ b/pimentolink/forwarder.py
@@ -14,7 +14,7 @@
 from pimentolink.authentication import Authenticator
 from pimentolink.dialect import CallerRequest, Dialect, fingerprint_of
 from pimentolink.errors import (
-    USUAL_PAUSE,
+    DEFAULT_RETRY_AFTER,
     CannotBeInTime,
     ConfigurationOutdated,
     Draining,
@@ -82,7 +82,7 @@
         table: RoutingTable,
         responder: Responder,
         organisation: Organisation | None = None,
-        on_run: RunCallback = _ignore_run,
+        on_execution_started: RunCallback = _ignore_run,
     ) -> None:
         """
         Start without an attempt.
@@ -94,7 +94,8 @@
         :param responder: sends the response.
         :param organisation: the authenticated organisation; ``None`` if the route
             needs no API key.
-        :param on_run: counts the request for its organisation once it begins to run.
+        :param on_execution_started: counts the request for its organisation once
+            it begins to run.
         """
         self.request = request
         self.route = route
@@ -104,7 +105,7 @@
         self.attempts = Attempts(route)
         self.first_event_at: float | None = None
         self._has_begun_run = False
-        self._on_run = on_run
+        self._on_run = on_execution_started
         timeout = route.timeout
         if request.patience is not None:
             timeout = min(timeout, request.patience)
@@ -200,7 +201,7 @@
         self._random = random
         self._log = log
         self._metrics = metrics
-        self.on_run: RunCallback = _ignore_run
+        self.on_execution_started: RunCallback = _ignore_run
         self.in_work = 0
         self.is_closing = False
 
@@ -229,7 +230,7 @@
         if isinstance(current, Err):
             return current
         if self.is_closing:
-            return Err(Draining("this gateway is about to end", USUAL_PAUSE))
+            return Err(Draining("this gateway is about to end", DEFAULT_RETRY_AFTER))
         found = self._dialect.read_request(http, self._timers.now())
         if isinstance(found, Err):
             return found
@@ -253,7 +254,7 @@
                 table,
                 responder,
                 authenticated.ok_value,
-                self.on_run,
+                self.on_execution_started,
             )
         )
 
@@ -265,7 +266,9 @@
         try:
             await with_timeout(self._timers, max(0.0, work.time_left(now)), serving)
         except TimeoutError:
-            no_capacity = CannotBeInTime("no target had room in time", USUAL_PAUSE)
+            no_capacity = CannotBeInTime(
+                "no target had room in time", DEFAULT_RETRY_AFTER
+            )
             self._fail(work, work.attempts.expired(no_capacity))
         except Failure as failure:
             self._fail(work, work.attempts.final(failure))
@@ -355,7 +358,7 @@
     """
     headers: list[tuple[bytes, bytes]] = [(b"Content-Type", b"text/plain")]
     if failure.status in (429, 503):
-        pause = failure.retry_after or USUAL_PAUSE
+        pause = failure.retry_after or DEFAULT_RETRY_AFTER
         headers.append((b"Retry-After", f"{pause:.2f}".encode()))
     if isinstance(failure, Unauthenticated):
         headers.append((b"WWW-Authenticate", b"Bearer"))
--- a/pimentolink/gateway.py
+++ b/pimentolink/gateway.py
@@ -25,19 +25,19 @@
 from pimentolink.forwarder import Forwarder
 from pimentolink.gatewaydelay import GatewayDelay
 from pimentolink.gatewaysettings import GatewaySettings
-from pimentolink.generation import Generations
+from pimentolink.generation import GenerationHandler
 from pimentolink.httptypes import Headers, HttpRequest
 from pimentolink.keyspace import Keyspace
 from pimentolink.keyspacefollower import KeyspaceFollower
 from pimentolink.leadership import Leadership
 from pimentolink.logs import Log, LogEvent
-from pimentolink.membership import Documents, Membership
+from pimentolink.membership import DocumentReader, Membership
 from pimentolink.metering import Metering
 from pimentolink.metrics import Metrics
 from pimentolink.pages import Page
 from pimentolink.peers import PeerProtocol, choose_peers
 from pimentolink.placement import Placer
-from pimentolink.plaincalls import PlainCalls
+from pimentolink.plaincalls import PlainCallHandler
 from pimentolink.prefillqueue import PrefillQueue
 from pimentolink.prefillscheduler import PrefillScheduler
 from pimentolink.quarantine import Quarantine
@@ -77,7 +77,7 @@
         settings: GatewaySettings,
         keyspace: Keyspace,
         dialect: Dialect,
-        documents: Documents,
+        documents: DocumentReader,
         timers: Timers,
         read_settings: ReadSettings,
         usage_api: UsageApi | None = None,
@@ -105,7 +105,7 @@
         self._random = Random(self._incarnation)
         self._cells = Cells()
         self._cell_gateways: tuple[str, ...] = ()
-        self._own_delay = GatewayDelay()
+        self._gateway_delay = GatewayDelay()
         self._egress_queue = EgressQueue(settings.link_megabits, timers)
         self.tables = RoutingTables()
         limit_ms = settings.revoke_within_ms
@@ -133,7 +133,7 @@
             self._random,
             self.log,
         )
-        self._quarantine.store.is_divided = lambda: self._cells.count > 1
+        self._quarantine.store.has_several_cells = lambda: self._cells.count > 1
         self._caller = Caller(
             directwrite.DirectEndpointReactor(reactor, self._egress_queue),
             settings.connections,
@@ -151,7 +151,7 @@
             self.fleet,
             settings.data_centre,
             self._egress_queue,
-            self._own_delay,
+            self._gateway_delay,
         )
         self.readings = self._make_prefill_scheduler(placer)
         self.forwarder = self._make_forwarder(placer)
@@ -165,11 +165,11 @@
             self._random,
             self.log,
         )
-        self.readings.belief_age = self._follower.age
+        self.readings.estimate_age = self._follower.age
         self._registration = Registration(
             settings, self._incarnation, keyspace, timers, self._random, self.log
         )
-        self._registration.on_store_back = self._reread_store
+        self._registration.on_store_recovered = self._reread_store
         self._registration.on_renewed = self.budgets.share.lease_renewed
         self._registration.on_lost = self.budgets.share.lease_lost
         self._follower.may_ask = self._may_call_store
@@ -196,19 +196,19 @@
 
     def _make_prefill_scheduler(self, placer: Placer) -> PrefillScheduler:
         self._prefill_queue = PrefillQueue(self._settings.placement, placer)
-        self._peers.waiting_work = self._prefill_queue.waiting_work
+        self._peers.queued_work_by_service = self._prefill_queue.queued_work_by_service
         readings = PrefillScheduler(
             self._prefill_queue,
             self._peers,
             self._timers,
             self.log,
             self._incarnation,
-            self._own_delay,
+            self._gateway_delay,
         )
         self._peers.open_prefills = readings.open_prefills
         return readings
 
-    def _make_membership(self, documents: Documents) -> Membership:
+    def _make_membership(self, documents: DocumentReader) -> Membership:
         settings, timers = self._settings, self._timers
         membership = Membership(
             self.tables,
@@ -228,16 +228,16 @@
                 self._random,
                 self.log,
             )
-            membership.on_first_read = learning.ask_all
+            membership.on_first_snapshot = learning.query_all
         membership.on_changed = self._membership_changed
-        self._peers.address_of = membership.address_of
-        membership.on_gone = self._caller.forget
-        membership.on_life_ended = self._quarantine.reports.target_ended
+        self._peers.find_address = membership.find_address
+        membership.on_target_removed = self._caller.forget
+        membership.on_target_ended = self._quarantine.reports.target_ended
         membership.on_suspects = self._quarantine.store.key_changed
         return membership
 
     def _make_configuration_verifier(
-        self, documents: Documents, keyspace: Keyspace
+        self, documents: DocumentReader, keyspace: Keyspace
     ) -> ConfigurationVerifier | None:
         """
         Create the verifier that keeps the configuration confirmed as current.
@@ -259,7 +259,7 @@
         verifier.may_ask = self._may_call_store
         verifier.gateways = lambda: self._cell_gateways
         verifier.version = lambda: self.tables.table.version if self.tables.table else 0
-        self._peers.on_proof = verifier.take
+        self._peers.on_verification_message = verifier.take
         verifier.on_change = self.membership.key_changed
         return verifier
 
@@ -285,7 +285,7 @@
         )
         metering.publisher.gateways = lambda: self.membership.gateways_by_name
         self.membership.on_usage = metering.key_changed
-        self.forwarder.on_run = metering.begun
+        self.forwarder.on_execution_started = metering.begun
         return metering
 
     def _make_role_controller(self) -> RoleController:
@@ -307,7 +307,7 @@
     def _make_forwarder(self, placer: Placer) -> Forwarder:
         settings, timers = self._settings, self._timers
         retry_limiter = RetryLimiter(self.budgets, self.log, self.metrics)
-        generations = Generations(
+        generations = GenerationHandler(
             self._caller,
             self._dialect,
             self.readings,
@@ -316,7 +316,7 @@
             timers,
             self.log,
         )
-        calls = PlainCalls(
+        calls = PlainCallHandler(
             self._caller,
             self._dialect,
             self.fleet,
@@ -472,7 +472,7 @@
             )
         peers = choose_peers(settings.instance, cell, self._cells, gateways)
         self._cell_gateways = tuple(peers)
-        self._peers.tell_to(peers.values())
+        self._peers.set_peer_addresses(peers.values())
         self.budgets.share.listed_count.update(len(gateways))
         self.readings.look()
 
@@ -481,13 +481,13 @@
 
     def _stall_ended(self) -> None:
         """Read the store again, since its state may have changed during the stall."""
-        self.fleet.forgive(self._timers.now())
+        self.fleet.clear_failures(self._timers.now())
         self._reread_store()
         self._registration.check()
-        self.leadership.distrust()
+        self.leadership.invalidate_lease()
 
     def _may_call_store(self) -> bool:
-        return self._registration.is_answered
+        return self._registration.is_store_reachable
 
     def _reread_store(self) -> None:
         """Read the store again, which may have changed unnoticed."""
--- a/pimentolink/generation.py
+++ b/pimentolink/generation.py
@@ -7,9 +7,9 @@
 from twisted.internet.defer import Deferred
 
 from pimentolink.calls import Call, Caller
-from pimentolink.dialect import Dialect, PrefilledPrompt, Sending, Verdict
+from pimentolink.dialect import Dialect, PrefilledPrompt, SendOptions, Verdict
 from pimentolink.errors import (
-    UNSENT,
+    NOT_SENT_FAILURES,
     ConnectionBroken,
     Failure,
     NoTarget,
@@ -22,8 +22,8 @@
 from pimentolink.forwarder import Work, forward_reply
 from pimentolink.httptypes import HttpReply, end_to_end
 from pimentolink.logs import Log, LogEvent
-from pimentolink.placement import MAX_SIZE, Placer, SizeScale, WaitingPrompt
-from pimentolink.prefillscheduler import PrefillScheduler, Ticket
+from pimentolink.placement import MAX_SIZE, Placer, RequestValueModel, WaitingPrompt
+from pimentolink.prefillscheduler import DispatchedPrefill, PrefillScheduler
 from pimentolink.retrylimiter import RetryLimiter
 from pimentolink.routes import Repeatability
 from pimentolink.targetestimate import TargetEstimate
@@ -49,7 +49,7 @@
     prefill_engine: TargetEstimate
 
 
-class Generations:
+class GenerationHandler:
     """
     Serves requests to model engines.
 
@@ -85,7 +85,7 @@
         self._retry_limiter = retry_limiter
         self._timers = timers
         self._log = log
-        self._sizes = SizeScale()
+        self._sizes = RequestValueModel()
 
     async def serve(self, work: Work) -> None:
         """Serve a request."""
@@ -154,21 +154,25 @@
             size=size,
             arrived_at=arrived_at,
             latency_target=route.latency_target,
-            on_time_until=(arrived_at if relay.has_begun else request.arrived_at)
+            latency_deadline=(arrived_at if relay.has_begun else request.arrived_at)
             + route.latency_target,
             due_at=work.due_at,
             body_bytes=len(request.http.body),
         )
 
-    def _sending(self, work: Work, estimate: TargetEstimate, relay: _Relay) -> Sending:
-        return Sending(
+    def _sending(
+        self, work: Work, estimate: TargetEstimate, relay: _Relay
+    ) -> SendOptions:
+        return SendOptions(
             target_id=estimate.target.target_id,
             time_left=work.time_left(self._timers.now()),
             priority=min(LOWEST_PRIORITY, work.priority),
             last_event=relay.last_event,
         )
 
-    async def _prefill(self, work: Work, ticket: Ticket, relay: _Relay) -> _Prefilled:
+    async def _prefill(
+        self, work: Work, ticket: DispatchedPrefill, relay: _Relay
+    ) -> _Prefilled:
         """Run the prefill on an engine that leaves the decode to another."""
         prefill_engine = ticket.placement.estimate
         timeout = PREFILL_TIMEOUT_FACTOR * ticket.expected + PREFILL_TIMEOUT_MARGIN
@@ -181,7 +185,7 @@
                 prefill = self._prefill_at(work, ticket)
                 prefilled = await with_timeout(self._timers, timeout, prefill)
             is_good = True
-        except UNSENT:
+        except NOT_SENT_FAILURES:
             relay.prefill_attempts -= 1
             raise
         except TimeoutError:
@@ -193,9 +197,9 @@
         prefill_engine.outcome(is_good=True)
         return prefilled
 
-    async def _prefill_at(self, work: Work, ticket: Ticket) -> _Prefilled:
+    async def _prefill_at(self, work: Work, ticket: DispatchedPrefill) -> _Prefilled:
         prefill_engine = ticket.placement.estimate
-        sending = Sending(
+        sending = SendOptions(
             target_id=prefill_engine.target.target_id,
             time_left=work.time_left(self._timers.now()),
             priority=min(LOWEST_PRIORITY, work.priority),
@@ -210,7 +214,9 @@
         if reply.head.status != 200:
             self._caller.failed(work.request, call, reply.head.status)
             raise ReplyInvalid(f"a reading's status {reply.head.status}")
-        return _Prefilled(self._dialect.read_prompt(reply).unwrap(), prefill_engine)
+        return _Prefilled(
+            self._dialect.read_prefill_reply(reply).unwrap(), prefill_engine
+        )
 
     async def _decode(self, work: Work, prefilled: _Prefilled, relay: _Relay) -> Call:
         """
@@ -252,7 +258,7 @@
         return call
 
     async def _prefill_and_decode(
-        self, work: Work, ticket: Ticket, relay: _Relay
+        self, work: Work, ticket: DispatchedPrefill, relay: _Relay
     ) -> Call:
         """Run prefill and decode on one engine."""
         estimate = ticket.placement.estimate
@@ -267,7 +273,7 @@
         return call
 
     async def _run(
-        self, work: Work, estimate: TargetEstimate, sending: Sending
+        self, work: Work, estimate: TargetEstimate, sending: SendOptions
     ) -> Call:
         """Send the request to an engine and wait for the head of the response."""
         is_once = work.route.repeatability is Repeatability.ONCE
@@ -290,7 +296,7 @@
         prefill_engine = prefilled.prefill_engine
         if prefill_engine.is_replaced:
             return
-        message = self._dialect.drop_cache(
+        message = self._dialect.release_cache_request(
             prefill_engine.target.address, prefilled.prompt
         )
 
--- a/pimentolink/keyspacefollower.py
+++ b/pimentolink/keyspacefollower.py
@@ -13,7 +13,7 @@
 from pimentolink.keyspace import Change, Keyspace, epoch_of
 from pimentolink.logs import Log, LogEvent
 from pimentolink.retry import Backoff
-from pimentolink.timers import Timers, in_background, pause
+from pimentolink.timers import Timers, pause, run_in_background
 
 
 class KeyspaceListener(Protocol):
@@ -90,7 +90,7 @@
 
     def start(self) -> None:
         """Read all keys, then watch them."""
-        self._loop = in_background(self._run())
+        self._loop = run_in_background(self._run())
 
     def restart(self) -> None:
         """Read all keys again now, since the known ones may be outdated."""
--- a/pimentolink/leadership.py
+++ b/pimentolink/leadership.py
@@ -15,7 +15,7 @@
 from pimentolink.jsondocument import read_json
 from pimentolink.keyspace import Change, Keyspace, Write, epoch_of
 from pimentolink.logs import Log, LogEvent
-from pimentolink.timers import Timers, in_background, pause
+from pimentolink.timers import Timers, pause, run_in_background
 
 LEADER_KEY = "pimentolink/orders"
 # How many times the lease is renewed within its duration.
@@ -25,7 +25,7 @@
 LEASE_MARGIN = 1.0
 # Seconds for which a read of the leader key may be acted on. The store may remove the
 # key without the leader noticing, so a new leader waits for this time beyond the lease.
-READ_AGE = 0.5
+MAX_READ_AGE = 0.5
 # Maximum random delay, in seconds, before an attempt to become the leader.
 CAMPAIGN_JITTER = 1.0
 
@@ -105,7 +105,7 @@
 
     def start(self) -> None:
         """Campaign whenever there is no leader."""
-        self._running = in_background(self._run())
+        self._running = run_in_background(self._run())
 
     def stop(self) -> None:
         """Stop campaigning and end the lease."""
@@ -114,7 +114,7 @@
         self._end_lease()
         self._clear_leadership()
 
-    def stand_back(self, seconds: float) -> None:
+    def resign(self, seconds: float) -> None:
         """
         Resign, so that a gateway that reaches what this one cannot reach may lead.
 
@@ -125,7 +125,7 @@
         self._end_lease()
         self._clear_leadership()
 
-    def distrust(self) -> None:
+    def invalidate_lease(self) -> None:
         """Do not act until the lease is renewed, since this process was suspended."""
         self._valid_until = 0.0
 
@@ -200,7 +200,7 @@
             or found.revision != self.fence
         ):
             raise LeaseLost("another gateway leads")
-        return self._timers.now() - requested_at <= READ_AGE
+        return self._timers.now() - requested_at <= MAX_READ_AGE
 
     def lost(self, failure: LeaseLost) -> None:
         """Record that this gateway no longer leads."""
--- a/pimentolink/links.py
+++ b/pimentolink/links.py
@@ -67,7 +67,7 @@
     def greeting(self) -> link_pb2.SidecarHello:
         """Create the hello message; the proof is added by the link."""
 
-    def load_due(self, link: SidecarLink) -> link_pb2.Load | None:
+    def take_due_load(self, link: SidecarLink) -> link_pb2.Load | None:
         """Return the load if a report to this entry is due."""
 
     def link_up(self, link: SidecarLink, hello: link_pb2.EntryHello) -> None:
--- a/pimentolink/linkserver.py
+++ b/pimentolink/linkserver.py
@@ -56,7 +56,7 @@
         if not self._events:
             return
         events, self._events = self._events, []
-        load = self._server.listener.load_due(self)
+        load = self._server.listener.take_due_load(self)
         step = link_pb2.Step(events=events, load=load)
         self.write(link_pb2.SidecarMessage(step=step))
 
--- a/pimentolink/logs.py
+++ b/pimentolink/logs.py
@@ -427,7 +427,7 @@
     _configure(BoundedWriter(sys.stdout.fileno()), level)
 
 
-def catch_unhandled(log: Log) -> None:
+def log_unhandled_errors(log: Log) -> None:
     """
     Log errors that nothing else handles, which Twisted would otherwise discard.
 
--- a/pimentolink/membership.py
+++ b/pimentolink/membership.py
@@ -25,7 +25,7 @@
 from pimentolink.usagereporter import USAGE_KEY
 
 
-class Documents(Protocol):
+class DocumentReader(Protocol):
     """Parses the documents in the store of a deployment."""
 
     configuration_key: str
@@ -50,10 +50,11 @@
     :ivar gateways_by_name: entries of all gateways in the store.
     :ivar is_known: whether all keys were read at least once.
     :ivar on_changed: called after changes were applied.
-    :ivar on_first_read: called when all keys were read for the first time.
+    :ivar on_first_snapshot: called when all keys were read for the first time.
     :ivar on_leader: called with changes of the leader key.
-    :ivar on_gone: called with the id of a target that was removed or restarted.
-    :ivar on_life_ended: called with a target that was removed or restarted, as last
+    :ivar on_target_removed: called with the id of a target that was removed or
+        restarted.
+    :ivar on_target_ended: called with a target that was removed or restarted, as last
         known, and with the sign of its end.
     :ivar on_suspects: called with changes of stored suspects.
     :ivar on_usage: called with changes of the usage key.
@@ -64,7 +65,7 @@
         tables: RoutingTables,
         fleet: Fleet,
         age: ConfigurationAge,
-        documents: Documents,
+        documents: DocumentReader,
         settings: StoreSettings,
         timers: Timers,
         log: Log,
@@ -94,14 +95,14 @@
         self.gateways_by_name: dict[str, GatewayEntry] = {}
         self.is_known = False
         self.on_changed: Callable[[], None] = lambda: None
-        self.on_first_read: Callable[[], None] = lambda: None
+        self.on_first_snapshot: Callable[[], None] = lambda: None
         self.on_leader: Callable[[Change], None] = lambda change: None
-        self.on_gone: Callable[[str], None] = lambda target_id: None
-        self.on_life_ended: Callable[[Target, str], None] = lambda target, sign: None
+        self.on_target_removed: Callable[[str], None] = lambda target_id: None
+        self.on_target_ended: Callable[[Target, str], None] = lambda target, sign: None
         self.on_suspects: Callable[[Change], None] = lambda change: None
         self.on_usage: Callable[[Change], None] = lambda change: None
 
-    def address_of(self, gateway: str) -> str | None:
+    def find_address(self, gateway: str) -> str | None:
         """Return a gateway's address for datagrams; ``None`` if it is not listed."""
         entry = self.gateways_by_name.get(gateway)
         return entry.address if entry is not None else None
@@ -150,7 +151,7 @@
         is_first = not self.is_known
         self.is_known = True
         if is_first:
-            self.on_first_read()
+            self.on_first_snapshot()
 
     def _configuration_changed(self, document: bytes) -> None:
         found = self._documents.read_configuration(document)
@@ -203,9 +204,9 @@
             self._log_life_change(
                 LogEvent.TARGET_RESTARTED, target, previous_born, change
             )
-            self.on_gone(target_id)
+            self.on_target_removed(target_id)
             if previous is not None:
-                self.on_life_ended(previous.target, "started again")
+                self.on_target_ended(previous.target, "started again")
         if is_changed:
             self._log.write(
                 LogEvent.TARGET_LISTED,
@@ -270,8 +271,8 @@
         estimate.missing_since = self._timers.now()
         self._ended_targets.ended(estimate.target, self._epoch, self._timers.now())
         self._log.write(LogEvent.TARGET_GONE, target=target_id, reason=reason)
-        self.on_gone(target_id)
-        self.on_life_ended(estimate.target, "no longer listed")
+        self.on_target_removed(target_id)
+        self.on_target_ended(estimate.target, "no longer listed")
 
     def _gateway_changed(self, change: Change) -> None:
         name = change.key.removeprefix(GATEWAY_PREFIX)
--- a/pimentolink/orders.py
+++ b/pimentolink/orders.py
@@ -10,7 +10,7 @@
 from pimentolink.errors import Failure, KeyValueUnavailable, OrderLost, OrderStuck
 from pimentolink.kvstore import KeyValueStore
 from pimentolink.logs import Log, LogEvent
-from pimentolink.plan import Group, Wanted, decode_plan
+from pimentolink.plan import DesiredState, Group, decode_plan
 from pimentolink.retry import Backoff
 from pimentolink.settings import OrderSettings
 from pimentolink.timers import Timers, pause
@@ -42,7 +42,7 @@
         :raises Failure: if the engine does not answer.
         """
 
-    def order(self, wanted: Wanted, fencing_number: int) -> Deferred[None]:
+    def order(self, wanted: DesiredState, fencing_number: int) -> Deferred[None]:
         """
         Send an order and wait until it took effect.
 
@@ -60,7 +60,7 @@
         """Accept new requests again."""
 
 
-class OrderKeeper:
+class EngineReconciler:
     """
     Reconciles the engine with the plan.
 
@@ -198,7 +198,7 @@
             if wanted is not None and not _matches(wanted, state):
                 await self._send_order(wanted, revision)
 
-    async def _send_order(self, wanted: Wanted, revision: int) -> None:
+    async def _send_order(self, wanted: DesiredState, revision: int) -> None:
         self._log.write(
             LogEvent.ORDER_STARTED, role=wanted.role, fencing_number=revision
         )
@@ -216,7 +216,7 @@
                 raise OrderStuck("an order has been under way for too long")
             await pause(self._timers, STATE_POLL_INTERVAL)
 
-    async def _read_plan(self) -> tuple[Wanted | None, int]:
+    async def _read_plan(self) -> tuple[DesiredState | None, int]:
         if self._group is None:
             return None, 0
         value = await self._store.get(self._group.plan_key)
@@ -226,11 +226,11 @@
         plan = decode_plan(value.data)
         return plan.wanted_by_target.get(self._target_id), value.revision
 
-    def _record_settled(self, wanted: Wanted | None, state: EngineState) -> None:
+    def _record_settled(self, wanted: DesiredState | None, state: EngineState) -> None:
         self.role = state.role
         if wanted is not None:
             self.settled_number = wanted.number
 
 
-def _matches(wanted: Wanted, state: EngineState) -> bool:
+def _matches(wanted: DesiredState, state: EngineState) -> bool:
     return wanted.matches(state.role, state.models, state.adapters)
--- a/pimentolink/outcomes.py
+++ b/pimentolink/outcomes.py
@@ -43,7 +43,7 @@
 }
 
 
-def finish_of_answer(answer: Answer) -> link_pb2.Finish:
+def finish_from_answer(answer: Answer) -> link_pb2.Finish:
     """
     Encode a target's complete answer.
 
@@ -61,7 +61,7 @@
     )
 
 
-def finish_of(failure: Failure) -> link_pb2.Finish:
+def finish_from_failure(failure: Failure) -> link_pb2.Finish:
     """
     Encode the failure of an attempt.
 
--- a/pimentolink/peers.py
+++ b/pimentolink/peers.py
@@ -173,17 +173,17 @@
         self._sent_open_prefills = OpenPrefills(0, [])
         self.open_prefills: Callable[[], OpenPrefills] = lambda: OpenPrefills(0, [])
         self._addresses: list[tuple[str, int]] = []
-        self.waiting_work: Callable[[], dict[str, float]] = dict
-        self.on_proof: Callable[[VerificationMessage, SendReply], None] = (
-            lambda message, reply: None
-        )
+        self.queued_work_by_service: Callable[[], dict[str, float]] = dict
+        self.on_verification_message: Callable[
+            [VerificationMessage, SendReply], None
+        ] = lambda message, reply: None
         self.on_usage: Callable[[str, UsageMessage], None] = lambda life, message: None
-        self.address_of: Callable[[str], str | None] = lambda gateway: None
+        self.find_address: Callable[[str], str | None] = lambda gateway: None
         self.on_suspects: Callable[[SuspectMessage, str], None] = (
             lambda message, source: None
         )
 
-    def tell_to(self, addresses: Iterable[str]) -> None:
+    def set_peer_addresses(self, addresses: Iterable[str]) -> None:
         """Set the addresses that broadcast messages are sent to."""
         self._addresses = [split_address(address) for address in addresses]
 
@@ -223,7 +223,7 @@
 
         :param gateways: their names; those that are not registered are skipped.
         """
-        addresses = [self.address_of(name) for name in gateways]
+        addresses = [self.find_address(name) for name in gateways]
         known = [split_address(address) for address in addresses if address]
         self._send_messages(known, messages)
 
@@ -262,7 +262,7 @@
             service: min(
                 MAX_QUEUED_WORK, round(work / QUEUED_WORK_STEP) * QUEUED_WORK_STEP
             )
-            for service, work in self.waiting_work().items()
+            for service, work in self.queued_work_by_service().items()
         }
 
     def _in_flight_counts(self) -> dict[str, int]:
@@ -349,7 +349,7 @@
             if isinstance(message, SuspectMessage):
                 self.on_suspects(message, "peer")
             elif isinstance(message, VerificationMessage):
-                self.on_proof(
+                self.on_verification_message(
                     message, lambda reply: self._send_messages([addr], [reply])
                 )
             elif isinstance(message, UsageMessage):
--- a/pimentolink/placement.py
+++ b/pimentolink/placement.py
@@ -34,7 +34,7 @@
     :ivar arrived_at: arrival time of the request, or, if it is retried after an engine
         failed, the time of that failure.
     :ivar latency_target: seconds allowed from then until the first event.
-    :ivar on_time_until: time by which the first event should reach the caller.
+    :ivar latency_deadline: time by which the first event should reach the caller.
     :ivar due_at: time at which the request expires, as set by caller or operator.
     :ivar body_bytes: size of the request body sent to the engine.
     """
@@ -46,7 +46,7 @@
     size: float
     arrived_at: float
     latency_target: float
-    on_time_until: float
+    latency_deadline: float
     due_at: float
     body_bytes: int = 0
 
@@ -56,11 +56,11 @@
     The engine chosen for a prefill, with the predicted times.
 
     :ivar tokens: tokens that the engine must compute.
-    :ivar held_tokens: tokens that are probably in the engine's prefix cache.
+    :ivar cached_tokens: tokens that are probably in the engine's prefix cache.
     :ivar done_at: predicted end of the prefill as observed by this gateway.
     :ivar engine_done_at: predicted end without the delay added by this gateway.
     :ivar way: predicted seconds until the engine has received the prompt.
-    :ivar hand_over: predicted seconds from the end of the prefill until the decode
+    :ivar handover_time: predicted seconds from the end of the prefill until the decode
         engine has received the prompt.
     :ivar copy_from: address of an engine that has more of the prompt cached; empty if
         nothing is fetched.
@@ -70,19 +70,19 @@
 
     estimate: TargetEstimate
     tokens: int
-    held_tokens: int
+    cached_tokens: int
     done_at: float
     copy_from: str
     copied_tokens: int
     is_prefill_only: bool
     engine_done_at: float
     way: float
-    hand_over: float
+    handover_time: float
 
     @property
     def decode_ready_at(self) -> float:
         """Predicted time at which decoding can start."""
-        return self.done_at + self.hand_over
+        return self.done_at + self.handover_time
 
 
 class _TransferPlan(NamedTuple):
@@ -122,7 +122,7 @@
     return candidate.cost
 
 
-class SizeScale:
+class RequestValueModel:
     """Rates the value of requests by their size relative to the mean of their route."""
 
     def __init__(self) -> None:
@@ -158,7 +158,7 @@
         fleet: Fleet,
         data_centre: str,
         egress_queue: EgressQueue,
-        own_delay: GatewayDelay,
+        gateway_delay: GatewayDelay,
     ) -> None:
         """
         Create a placer.
@@ -167,13 +167,14 @@
         :param fleet: the targets.
         :param data_centre: data centre of this gateway.
         :param egress_queue: predicts how long a prompt takes to leave this gateway.
-        :param own_delay: delay that this gateway adds beyond that and the engine time.
+        :param gateway_delay: delay that this gateway adds beyond that and the engine
+            time.
         """
         self._settings = settings
         self._fleet = fleet
         self._data_centre = data_centre
         self._egress_queue = egress_queue
-        self._own_delay = own_delay
+        self._gateway_delay = gateway_delay
 
     def best(self, prompt: WaitingPrompt, now: float) -> Placement | None:
         """
@@ -189,11 +190,13 @@
         if not has_decode_engine:
             return None
         max_reusable = prompt.prompt_tokens - 1
-        source = max(engines, key=lambda item: item.fetchable.held_tokens(prompt.parts))
+        source = max(
+            engines, key=lambda item: item.fetchable.cached_tokens(prompt.parts)
+        )
         transfer = _TransferPlan(
             way=self._egress_queue.delay(prompt.body_bytes),
             source=source,
-            fetchable=min(max_reusable, source.fetchable.held_tokens(prompt.parts)),
+            fetchable=min(max_reusable, source.fetchable.cached_tokens(prompt.parts)),
         )
         candidates = [
             self._evaluate(prompt, engine, transfer, now) for engine in engines
@@ -212,12 +215,12 @@
         """Predict the duration and the cost of a prefill on one engine."""
         settings = self._settings
         max_reusable = prompt.prompt_tokens - 1
-        cached = min(max_reusable, engine.parts.held_tokens(prompt.parts))
+        cached = min(max_reusable, engine.parts.cached_tokens(prompt.parts))
         copied = transfer.fetchable - cached
         if copied < MIN_COPY_TOKENS:
             copied = 0
         tokens = max(1, prompt.prompt_tokens - cached - copied)
-        work = engine.work_time(tokens)
+        work = engine.prefill_time(tokens)
         if copied:
             work += engine.copy_time(copied)
         ends_in = max(transfer.way, engine.backlog(now)) + work
@@ -238,14 +241,14 @@
         return Placement(
             estimate=candidate.engine,
             tokens=candidate.tokens,
-            held_tokens=candidate.cached,
-            done_at=now + candidate.ends_in + self._own_delay.seconds(now),
+            cached_tokens=candidate.cached,
+            done_at=now + candidate.ends_in + self._gateway_delay.seconds(now),
             engine_done_at=now + candidate.ends_in,
             copy_from=transfer.source.target.address if candidate.copied else "",
             copied_tokens=candidate.copied,
             is_prefill_only=is_prefill_engine,
             way=transfer.way,
-            hand_over=transfer.way if is_prefill_engine else 0.0,
+            handover_time=transfer.way if is_prefill_engine else 0.0,
         )
 
     def engines(self, service: str, now: float) -> list[TargetEstimate]:
@@ -262,7 +265,7 @@
         :param share: fraction of the work queued at other gateways that runs first.
         :returns: seconds.
         """
-        work = queued_work + share * self._fleet.waiting_elsewhere(service)
+        work = queued_work + share * self._fleet.prefill_work_at_peers(service)
         return work / max(1.0, self._fleet.usable_count(service, now))
 
     def writer(
--- a/pimentolink/plaincalls.py
+++ b/pimentolink/plaincalls.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import CancelledError, Deferred
 
 from pimentolink.calls import Caller
-from pimentolink.dialect import Dialect, Sending, Verdict
+from pimentolink.dialect import Dialect, SendOptions, Verdict
 from pimentolink.errors import (
     Failure,
     NoTarget,
@@ -29,7 +29,7 @@
 FAILURE_WEIGHT = 2.0
 
 
-class PlainCalls:
+class PlainCallHandler:
     """
     Serves requests whose response is not streamed.
 
@@ -146,7 +146,7 @@
     async def _exchange(self, work: Work, estimate: TargetEstimate) -> HttpReply:
         request = work.request
         time_left = work.time_left(self._timers.now())
-        sending = Sending(estimate.target.target_id, time_left)
+        sending = SendOptions(estimate.target.target_id, time_left)
         is_once = work.route.repeatability is Repeatability.ONCE
         call = await self._caller.begin(request, estimate, sending, is_once)
         try:
--- a/pimentolink/plan.py
+++ b/pimentolink/plan.py
@@ -35,7 +35,7 @@
         return f"{PLANNER_PREFIX}/{self.service}/{self.region}"
 
 
-class Wanted(Struct, frozen=True):
+class DesiredState(Struct, frozen=True):
     """
     Desired state of a target.
 
@@ -75,10 +75,10 @@
     writer: str
     number: int
     configuration_version: int
-    wanted_by_target: dict[str, Wanted] = field(default_factory=dict)
+    wanted_by_target: dict[str, DesiredState] = field(default_factory=dict)
 
     def changed(
-        self, writer: str, version: int, wanted_by_target: dict[str, Wanted]
+        self, writer: str, version: int, wanted_by_target: dict[str, DesiredState]
     ) -> Plan:
         """
         Create the plan that replaces this one.
@@ -96,7 +96,9 @@
         }
         return Plan(writer, number, version, numbered)
 
-    def _with_number(self, name: str, wanted: Wanted, number: int) -> Wanted:
+    def _with_number(
+        self, name: str, wanted: DesiredState, number: int
+    ) -> DesiredState:
         current = self.wanted_by_target.get(name)
         if current is not None and current.matches(
             wanted.role, wanted.models, wanted.adapters
@@ -105,7 +107,7 @@
         return msgspec.structs.replace(wanted, number=number)
 
 
-NO_PLAN = Plan("", 0, 0)
+EMPTY_PLAN = Plan("", 0, 0)
 
 
 def decode_plan(data: bytes | None) -> Plan:
@@ -114,7 +116,7 @@
 
     :param data: the stored value, or ``None`` if there is no plan yet.
     """
-    return NO_PLAN if data is None else msgspec.json.decode(data, type=Plan)
+    return EMPTY_PLAN if data is None else msgspec.json.decode(data, type=Plan)
 
 
 def groups_of(configuration: Configuration) -> dict[Group, list[str]]:
@@ -151,7 +153,9 @@
     return None
 
 
-def wanted_of(configuration: Configuration, service: str, role: Role) -> Wanted:
+def desired_state(
+    configuration: Configuration, service: str, role: Role
+) -> DesiredState:
     """
     Derive the desired state of a service's engine from the configuration.
 
@@ -165,4 +169,4 @@
     adapters = [
         adapter for name in names for adapter in configuration.models[name].adapters
     ]
-    return Wanted(role, models, adapters, 0)
+    return DesiredState(role, models, adapters, 0)
--- a/pimentolink/planner.py
+++ b/pimentolink/planner.py
@@ -14,7 +14,14 @@
 from pimentolink.errors import KeyValueUnavailable
 from pimentolink.kvstore import KeyValueStore
 from pimentolink.logs import Log, LogEvent
-from pimentolink.plan import Group, Plan, Wanted, decode_plan, groups_of, wanted_of
+from pimentolink.plan import (
+    DesiredState,
+    Group,
+    Plan,
+    decode_plan,
+    desired_state,
+    groups_of,
+)
 from pimentolink.settings import PlannerSettings
 from pimentolink.timers import Repeater, Timers
 
@@ -189,7 +196,7 @@
         planned = {name: wanted.role for name, wanted in plan.wanted_by_target.items()}
         roles = self._policy.choose(group, configured, planned, views)
         wanted = {
-            name: wanted_of(configuration, group.service, roles[name])
+            name: desired_state(configuration, group.service, roles[name])
             for name in target_ids
         }
         allowed = self._limit_changes(plan, wanted, views)
@@ -219,8 +226,8 @@
         return is_held
 
     def _limit_changes(
-        self, plan: Plan, wanted: dict[str, Wanted], views: list[TargetView]
-    ) -> dict[str, Wanted]:
+        self, plan: Plan, wanted: dict[str, DesiredState], views: list[TargetView]
+    ) -> dict[str, DesiredState]:
         """
         Defer changes beyond ``most_changing`` engines at once.
 
@@ -279,7 +286,7 @@
             if view.is_serving:
                 self._last_seen_by_id[view.target_id] = (view.settled_number, now)
 
-    def _is_settled(self, before: Wanted, view: TargetView) -> bool:
+    def _is_settled(self, before: DesiredState, view: TargetView) -> bool:
         """
         Check whether an engine has reached its state in the plan.
 
@@ -311,5 +318,5 @@
         )
 
 
-def _is_same(before: Wanted, new: Wanted) -> bool:
+def _is_same(before: DesiredState, new: DesiredState) -> bool:
     return before.matches(new.role, new.models, new.adapters)
--- a/pimentolink/platform/dialect.py
+++ b/pimentolink/platform/dialect.py
@@ -12,7 +12,7 @@
     CallerRequest,
     PrefilledPrompt,
     PromptPart,
-    Sending,
+    SendOptions,
     Verdict,
 )
 from pimentolink.errors import InvalidRequest, OrderRefused, ReplyInvalid
@@ -224,7 +224,7 @@
         """Parse the headers of a caller's request."""
         return read_request(request, now)
 
-    def sending(self, request: CallerRequest, sending: Sending) -> HttpRequest:
+    def sending(self, request: CallerRequest, sending: SendOptions) -> HttpRequest:
         """Build the request that is sent to a target."""
         forwarded_headers = [
             item
@@ -253,7 +253,7 @@
             system_headers.append((LAST_EVENT, sending.last_event))
         return request.http._replace(headers=(*forwarded_headers, *system_headers))
 
-    def belongs(self, request: CallerRequest, head: ReplyHead) -> bool:
+    def is_reply_to(self, request: CallerRequest, head: ReplyHead) -> bool:
         """Return whether a reply belongs to a request."""
         reply_request_id = head.header(REQUEST_ID.lower())
         if reply_request_id is None:
@@ -277,7 +277,9 @@
         is_encoded = head.header(b"content-encoding") is not None
         return head.header(SIGNATURE.lower()) is not None and not is_encoded
 
-    def read_prompt(self, reply: HttpReply) -> Result[PrefilledPrompt, ReplyInvalid]:
+    def read_prefill_reply(
+        self, reply: HttpReply
+    ) -> Result[PrefilledPrompt, ReplyInvalid]:
         """Parse the reply to a prefill."""
         parsed = read_json(reply.body, _PrefillReply)
         if isinstance(parsed, Err):
@@ -289,16 +291,18 @@
         """Return the location from which another engine can fetch a KV cache."""
         return f"{address}/{prompt.handle}"
 
-    def drop_cache(self, address: str, prompt: PrefilledPrompt) -> HttpRequest:
+    def release_cache_request(
+        self, address: str, prompt: PrefilledPrompt
+    ) -> HttpRequest:
         """Build the request that releases a KV cache that no engine will fetch."""
         path = f"/kv-handle/{prompt.handle}".encode()
         return HttpRequest(b"DELETE", path, ((b"Host", address.encode()),))
 
-    def ask_parts(self, estimate: TargetEstimate) -> HttpRequest:
+    def cache_contents_request(self, estimate: TargetEstimate) -> HttpRequest:
         """Build the request for the contents of an engine's prefix cache."""
         return HttpRequest(b"GET", b"/kv-list", _target_headers(estimate))
 
-    def read_parts(
+    def read_cache_contents(
         self, reply: HttpReply
     ) -> Result[tuple[PromptPart, ...], ReplyInvalid]:
         """Parse the contents of an engine's prefix cache."""
@@ -314,7 +318,7 @@
             return Err(ReplyInvalid(f"a list of parts: {error}"))
         return Ok(parts)
 
-    def ask_report(self, estimate: TargetEstimate) -> HttpRequest:
+    def report_request(self, estimate: TargetEstimate) -> HttpRequest:
         """Build the request for an engine's report."""
         return HttpRequest(b"GET", b"/report", _target_headers(estimate))
 
@@ -342,7 +346,7 @@
         headers = (*_target_headers(estimate), (b"Content-Type", b"application/json"))
         return HttpRequest(b"POST", b"/order", headers, msgspec.json.encode(order))
 
-    def order_outcome(self, reply: HttpReply) -> Result[None, OrderRefused]:
+    def read_order_reply(self, reply: HttpReply) -> Result[None, OrderRefused]:
         """Parse the reply to an order."""
         if reply.head.status in (200, 202):
             return Ok(None)
--- a/pimentolink/platform/edge.py
+++ b/pimentolink/platform/edge.py
@@ -84,7 +84,7 @@
     from twisted.internet import reactor as installed
 
     reactor: Any = installed
-    logs.catch_unhandled(logs.Log())
+    logs.log_unhandled_errors(logs.Log())
     process = Process(reactor, lambda loop: make_gateway(loop, settings.ok_value, path))
     reactor.callWhenRunning(process.start)
     reactor.run(installSignalHandlers=False)
--- a/pimentolink/porcelain.py
+++ b/pimentolink/porcelain.py
@@ -37,7 +37,7 @@
 from pimentolink.keyspace import Keyspace, Write
 from pimentolink.kvstore import KeyValueStore
 from pimentolink.loganalysis import Analysis, analyze
-from pimentolink.membership import Documents
+from pimentolink.membership import DocumentReader
 from pimentolink.peermessages import MAX_CRASHES, SuspectCleared
 from pimentolink.plan import decode_plan, groups_of
 from pimentolink.routes import RoutingTable
@@ -190,7 +190,7 @@
 
 
 async def deployment_status(
-    keyspace: Keyspace, documents: Documents
+    keyspace: Keyspace, documents: DocumentReader
 ) -> DeploymentStatus:
     """
     Read the status of a deployment from the store that its gateways use.
--- a/pimentolink/prefillcost.py
+++ b/pimentolink/prefillcost.py
@@ -120,19 +120,20 @@
         # Fixed time of a fetch in seconds, besides the time per token.
         self.copy_overhead = 0.0
 
-    def of_role(self, is_decode_engine: bool) -> PrefillCost:
+    def cost_model(self, is_decode_engine: bool) -> PrefillCost:
         """Return the cost model of one role."""
         return self._decode_role_cost if is_decode_engine else self._prefill_role_cost
 
     def is_known(self, is_decode_engine: bool) -> bool:
         """Return whether predictions for a role are based on measured prefills."""
         return (
-            self._prefill_role_cost.is_known or self.of_role(is_decode_engine).is_known
+            self._prefill_role_cost.is_known
+            or self.cost_model(is_decode_engine).is_known
         )
 
     def seconds(self, tokens: int, is_decode_engine: bool) -> float:
         """Predict the duration of a prefill on a typical engine of a role."""
-        cost = self.of_role(is_decode_engine)
+        cost = self.cost_model(is_decode_engine)
         if cost.is_known:
             return cost.seconds(tokens)
         share = self._writer_share if is_decode_engine else 1.0
--- a/pimentolink/prefillqueue.py
+++ b/pimentolink/prefillqueue.py
@@ -54,9 +54,9 @@
         """Replace the prediction and recompute the rank."""
         self.placement = placement
         self.prediction_key = prediction_key
-        self.work = placement.estimate.work_time(placement.tokens)
+        self.work = placement.estimate.prefill_time(placement.tokens)
         request_value = self.prompt.size
-        if placement.decode_ready_at > self.prompt.on_time_until:
+        if placement.decode_ready_at > self.prompt.latency_deadline:
             request_value *= LATE_VALUE_FACTOR
         self.rank = (-request_value / self.work, self.prompt.arrived_at)
 
@@ -138,7 +138,7 @@
         share = (ahead + DEFAULT_SHARE_AHEAD * entry.work) / (queued + entry.work)
         return self._placer.expected_wait(service, ahead, share, now)
 
-    def waiting_work(self) -> dict[str, float]:
+    def queued_work_by_service(self) -> dict[str, float]:
         """Return the queued prefill work in engine seconds, by service."""
         work_by_service: dict[str, float] = {}
         for entry in self._entries_by_id.values():
@@ -161,9 +161,9 @@
         prefill takes longer than the latency target is allowed that time as well, so
         that large prompts are not rejected for their size alone.
         """
-        if not placement.estimate.is_timed:
+        if not placement.estimate.has_measured_costs:
             return None
-        own_work = placement.estimate.work_time(placement.tokens)
+        own_work = placement.estimate.prefill_time(placement.tokens)
         max_delay = self._settings.late_factor * prompt.latency_target
         max_delay = max(max_delay, LARGE_PROMPT_FACTOR * own_work)
         latest_start = min(prompt.arrived_at + max_delay, prompt.due_at)
@@ -171,7 +171,7 @@
             return None
         retry_after = min(
             MAX_RETRY_AFTER,
-            max(MIN_RETRY_AFTER, decode_starts_at - prompt.on_time_until),
+            max(MIN_RETRY_AFTER, decode_starts_at - prompt.latency_deadline),
         )
         return CannotBeInTime(
             f"would be read in {decode_starts_at - now:.2f} s, "
--- a/pimentolink/prefillscheduler.py
+++ b/pimentolink/prefillscheduler.py
@@ -7,7 +7,7 @@
 from twisted.internet.defer import Deferred
 
 from pimentolink.dialect import PromptPart
-from pimentolink.errors import USUAL_PAUSE, CannotBeInTime, Failure
+from pimentolink.errors import DEFAULT_RETRY_AFTER, CannotBeInTime, Failure
 from pimentolink.gatewaydelay import GatewayDelay
 from pimentolink.logs import Log, LogEvent
 from pimentolink.peermessages import (
@@ -27,7 +27,7 @@
 POLL_INTERVAL = 0.05
 
 
-class Ticket:
+class DispatchedPrefill:
     """A prefill sent to an engine, from its dispatch to its end."""
 
     def __init__(
@@ -46,7 +46,7 @@
         self.placement = placement
         self.began_at = began_at
         self.expected = placement.done_at - began_at
-        self.was_timed = placement.estimate.is_timed
+        self.was_timed = placement.estimate.has_measured_costs
         self.is_over = False
 
 
@@ -60,7 +60,7 @@
         timers: Timers,
         log: Log,
         gateway: str,
-        own_delay: GatewayDelay,
+        gateway_delay: GatewayDelay,
     ) -> None:
         """
         Create a scheduler without waiting prompts.
@@ -71,21 +71,21 @@
         :param log: receives log events.
         :param gateway: identifies this incarnation of the gateway process; part of the
             name of each prefill.
-        :param own_delay: learns the delay that this gateway adds to prefills.
+        :param gateway_delay: learns the delay that this gateway adds to prefills.
         """
         self._queue = queue
         self._publisher = publisher
         self._timers = timers
         self._log = log
         self._gateway = gateway
-        self._own_delay = own_delay
+        self._gateway_delay = gateway_delay
         self._next_number = 0
         self._open_numbers: set[int] = set()
-        self._waiters_by_id: dict[str, Deferred[Ticket]] = {}
+        self._waiters_by_id: dict[str, Deferred[DispatchedPrefill]] = {}
         self._timer: Timer | None = None
-        self.belief_age: Callable[[], float] = lambda: 0.0
+        self.estimate_age: Callable[[], float] = lambda: 0.0
 
-    def wait(self, prompt: WaitingPrompt) -> Deferred[Ticket]:
+    def wait(self, prompt: WaitingPrompt) -> Deferred[DispatchedPrefill]:
         """
         Wait until an engine has room for a prompt.
 
@@ -94,11 +94,11 @@
         :raises NoTarget: if no engine accepts work.
         """
 
-        def on_cancel(_: Deferred[Ticket]) -> None:
+        def on_cancel(_: Deferred[DispatchedPrefill]) -> None:
             self._queue.remove(prompt.request_id)
             self._waiters_by_id.pop(prompt.request_id, None)
 
-        waiter: Deferred[Ticket] = Deferred(on_cancel)
+        waiter: Deferred[DispatchedPrefill] = Deferred(on_cancel)
         now = self._timers.now()
         refused = self._queue.add(prompt, now)
         if refused is not None:
@@ -130,13 +130,13 @@
 
     def _refuse_unservable(self) -> None:
         for prompt in self._queue.pop_unservable(self._timers.now()):
-            failure = CannotBeInTime("the engines fell behind", USUAL_PAUSE)
+            failure = CannotBeInTime("the engines fell behind", DEFAULT_RETRY_AFTER)
             self._log_refusal(prompt, failure)
             self._waiters_by_id.pop(prompt.request_id).errback(failure)
 
     def _start_prefill(
         self, prompt: WaitingPrompt, placement: Placement, now: float
-    ) -> Ticket:
+    ) -> DispatchedPrefill:
         number = self._next_number
         self._next_number += 1
         self._open_numbers.add(number)
@@ -154,7 +154,7 @@
                 number,
                 estimate.target.key,
                 placement.tokens,
-                parts_of(prompt.parts),
+                encode_parts(prompt.parts),
                 placement.copied_tokens,
                 min(MAX_TRANSMISSION_DELAY_MS, round(1000 * placement.way)),
             )
@@ -165,21 +165,21 @@
             target=estimate.target.target_id,
             role=estimate.target.role.value,
             tokens=placement.tokens,
-            held=placement.held_tokens,
+            held=placement.cached_tokens,
             copied=placement.copied_tokens,
             waited=round(now - prompt.arrived_at, 3),
             predicted=round(placement.done_at - now, 3),
             way=round(placement.way, 4),
             waiting=len(self._queue),
-            list_age=round(self.belief_age(), 3),
+            list_age=round(self.estimate_age(), 3),
         )
-        return Ticket(number, prompt.request_id, placement, now)
+        return DispatchedPrefill(number, prompt.request_id, placement, now)
 
     def open_prefills(self) -> OpenPrefills:
         """Return the prefills of this gateway that have not ended."""
         return OpenPrefills(self._next_number, sorted(self._open_numbers))
 
-    def end(self, ticket: Ticket, is_good: bool) -> None:
+    def end(self, ticket: DispatchedPrefill, is_good: bool) -> None:
         """
         Record the end of a prefill.
 
@@ -197,7 +197,7 @@
             # Predictions made before any prefill was measured say nothing about the
             # delay of this gateway. When they were included, 3 of 290 requests were
             # rejected at low load.
-            self._own_delay.learn(now - ticket.placement.engine_done_at, now)
+            self._gateway_delay.learn(now - ticket.placement.engine_done_at, now)
         target_id = estimate.target.target_id
         self._publisher.broadcast(
             PrefillEnded(ticket.number, estimate.target.key, is_good)
@@ -225,10 +225,10 @@
             detail=failure.detail,
             waited=round(self._timers.now() - prompt.arrived_at, 3),
             waiting=len(self._queue),
-            list_age=round(self.belief_age(), 3),
+            list_age=round(self.estimate_age(), 3),
         )
 
 
-def parts_of(parts: tuple[PromptPart, ...]) -> list[tuple[int, int]]:
+def encode_parts(parts: tuple[PromptPart, ...]) -> list[tuple[int, int]]:
     """Encode prompt parts for a message to another gateway."""
     return [(part.part_id, part.tokens) for part in parts]
--- a/pimentolink/prefixcache.py
+++ b/pimentolink/prefixcache.py
@@ -79,7 +79,7 @@
             if self._index is not None:
                 self._index.discard(part_id, self._owner)
 
-    def held_tokens(self, parts: Iterable[PromptPart]) -> int:
+    def cached_tokens(self, parts: Iterable[PromptPart]) -> int:
         """
         Return the number of tokens of a prompt that need not be computed again.
 
--- a/pimentolink/prefixes.py
+++ b/pimentolink/prefixes.py
@@ -8,7 +8,7 @@
 from pimentolink.request import Request
 
 
-class PrefixMemory:
+class PrefixIndex:
     """
     Records which targets have prefilled which prompt prefixes.
 
@@ -35,7 +35,7 @@
         while len(self._targets_by_prefix) > self._max_prefixes:
             self._targets_by_prefix.popitem(last=False)
 
-    def expected_tokens(self, request: Request, target_id: str) -> int:
+    def expected_cached_tokens(self, request: Request, target_id: str) -> int:
         """
         Estimate how much of a prompt is in a target's cache.
 
--- a/pimentolink/quarantine.py
+++ b/pimentolink/quarantine.py
@@ -10,7 +10,7 @@
 from pimentolink.logs import Log
 from pimentolink.peers import PeerProtocol
 from pimentolink.retry import Backoff
-from pimentolink.suspects import Suspects
+from pimentolink.suspects import SuspectTracker
 from pimentolink.suspectstore import SuspectStore
 from pimentolink.timers import Timers
 
@@ -45,7 +45,7 @@
         :param log: receives log events.
         """
         store_settings = settings.store
-        suspects = Suspects(random)
+        suspects = SuspectTracker(random)
         self.reports = CrashReports(suspects, peers, timers, log)
         self.store = SuspectStore(
             f"{settings.instance}/{incarnation}",
--- a/pimentolink/registration.py
+++ b/pimentolink/registration.py
@@ -14,7 +14,7 @@
 from pimentolink.logs import Log, LogEvent
 from pimentolink.retry import Backoff
 from pimentolink.settings import Address
-from pimentolink.timers import Timers, in_background, pause
+from pimentolink.timers import Timers, pause, run_in_background
 
 GATEWAY_PREFIX = "pimentolink/gateways/"
 # Seconds between two renewals of the lease. Renewals also detect outages of the store:
@@ -44,11 +44,11 @@
     """
     Keeps this gateway's entry under a lease and writes it again if the lease is lost.
 
-    The renewals also check that the store responds: ``on_store_back`` is called when
-    the store responds again after it failed to.
+    The renewals also check that the store responds: ``on_store_recovered`` is called
+    when the store responds again after it failed to.
 
-    :ivar is_answered: whether the store responded to the last attempt to renew the
-        lease or to write the entry.
+    :ivar is_store_reachable: whether the store responded to the last attempt to renew
+        the lease or to write the entry.
     :ivar lease: id of the lease; 0 without one.
     :ivar on_renewed: called after the lease was granted or renewed, with the time at
         which the request was sent, in seconds of
@@ -84,15 +84,15 @@
         self._life = life
         self._key = GATEWAY_PREFIX + settings.instance
         self._loop: Deferred[None] | None = None
-        self.is_answered = True
+        self.is_store_reachable = True
         self.lease = 0
-        self.on_store_back: Callable[[], None] = lambda: None
+        self.on_store_recovered: Callable[[], None] = lambda: None
         self.on_renewed: Callable[[float], None] = lambda requested_at: None
         self.on_lost: Callable[[], None] = lambda: None
 
     def start(self) -> None:
         """Write the entry and keep renewing its lease."""
-        self._loop = in_background(self._run())
+        self._loop = run_in_background(self._run())
 
     def stop(self) -> None:
         """Stop renewing and revoke the lease, which removes the entry."""
@@ -130,14 +130,14 @@
 
     def _record_response(self) -> None:
         self._backoff.reset()
-        if not self.is_answered:
-            self.is_answered = True
+        if not self.is_store_reachable:
+            self.is_store_reachable = True
             self._log.write(LogEvent.RENEWAL_ANSWERED, lease=self.lease)
-            self.on_store_back()
+            self.on_store_recovered()
 
     def _record_outage(self, failure: KeyValueUnavailable) -> None:
-        if self.is_answered:
-            self.is_answered = False
+        if self.is_store_reachable:
+            self.is_store_reachable = False
             self._log.write(
                 LogEvent.RENEWAL_UNANSWERED, lease=self.lease, detail=failure.detail
             )
--- a/pimentolink/retrylimiter.py
+++ b/pimentolink/retrylimiter.py
@@ -4,7 +4,7 @@
 
 from contextlib import AbstractContextManager, nullcontext
 
-from pimentolink.errors import USUAL_PAUSE, RetryBudgetSpent
+from pimentolink.errors import DEFAULT_RETRY_AFTER, RetryBudgetSpent
 from pimentolink.forwarder import Work
 from pimentolink.logs import Log, LogEvent
 from pimentolink.metrics import Metrics
@@ -55,5 +55,5 @@
             part=round(decision.part, 2),
         )
         if decision.grant is None:
-            raise RetryBudgetSpent("no repeated attempt is left", USUAL_PAUSE)
+            raise RetryBudgetSpent("no repeated attempt is left", DEFAULT_RETRY_AFTER)
         return decision.grant
--- a/pimentolink/rolecontroller.py
+++ b/pimentolink/rolecontroller.py
@@ -14,12 +14,12 @@
 )
 from pimentolink.fleet import Fleet
 from pimentolink.httptypes import HttpReply, HttpRequest
-from pimentolink.leadership import READ_AGE, Leadership
+from pimentolink.leadership import MAX_READ_AGE, Leadership
 from pimentolink.logs import Log, LogEvent
 from pimentolink.peermessages import PeerPublisher, RoleChanging
 from pimentolink.rolebalance import RoleBalancer, RoleChange
 from pimentolink.targetestimate import EngineReport, TargetEstimate
-from pimentolink.timers import Timers, together, with_timeout
+from pimentolink.timers import Timers, await_all, with_timeout
 
 # Seconds for which an engine gets no further order after an order without an answer,
 # which may still be carried out up to 12 s after it was sent.
@@ -87,7 +87,7 @@
         self._publisher = publisher
         self._timers = timers
         self._log = log
-        self._takeover_wait = leadership.lease_time + 2 * READ_AGE
+        self._takeover_wait = leadership.lease_time + 2 * MAX_READ_AGE
         self._uncertain_until: dict[str, float] = {}
         self.services: Callable[[], list[str]] = list
 
@@ -108,7 +108,7 @@
     async def _send_orders(self, service: str, changes: list[RoleChange]) -> None:
         """Send a round of orders after one read that confirms the leadership."""
         allowed = [change for change in changes if self._may_order(change)]
-        reports = await together([self._fetch_report(change) for change in allowed])
+        reports = await await_all([self._fetch_report(change) for change in allowed])
         orders: list[_Order] = []
         for change, report in zip(allowed, reports, strict=True):
             if report is None or not _is_needed(change, report):
@@ -125,7 +125,7 @@
             orders.append(_Order(change, message, report.orders_accepted))
         if not orders or not await self._leadership.is_confirmed():
             return
-        await together([self._send_order(service, order) for order in orders])
+        await await_all([self._send_order(service, order) for order in orders])
 
     async def _send_order(self, service: str, order: _Order) -> None:
         change = order.change
@@ -144,7 +144,7 @@
     async def _fetch_report(self, change: RoleChange) -> EngineReport | None:
         """Ask the engine for its state; the target list shows it with a delay."""
         estimate = change.estimate
-        asking = self._send(estimate, self._dialect.ask_report(estimate))
+        asking = self._send(estimate, self._dialect.report_request(estimate))
         try:
             reply = await with_timeout(self._timers, ORDER_TIMEOUT, asking)
         except (Failure, TimeoutError) as error:
@@ -168,7 +168,7 @@
             until = self._timers.now() + ORDER_UNCERTAINTY
             self._uncertain_until[estimate.target.target_id] = until
             return Err(OrderLost(f"{type(error).__name__}: {error}"))
-        return self._dialect.order_outcome(reply)
+        return self._dialect.read_order_reply(reply)
 
     def _on_accepted(self, service: str, change: RoleChange) -> None:
         model = self._fleet.model(service)
@@ -201,5 +201,5 @@
     return (
         is_role_different
         and not report.is_busy
-        and report.is_of(change.estimate.target)
+        and report.is_from(change.estimate.target)
     )
--- a/pimentolink/router.py
+++ b/pimentolink/router.py
@@ -10,7 +10,7 @@
 from pimentolink.claimtable import call_digest, partition_of
 from pimentolink.completions import PREFIX_TOKENS
 from pimentolink.errors import NoTarget
-from pimentolink.prefixes import PrefixMemory
+from pimentolink.prefixes import PrefixIndex
 from pimentolink.request import Request
 from pimentolink.settings import RoutingSettings
 from pimentolink.targetpool import PREFILL, TargetPool, TargetState, ring_hash
@@ -50,7 +50,7 @@
         self,
         settings: RoutingSettings,
         data_centre: str,
-        memory: PrefixMemory,
+        memory: PrefixIndex,
         random: Random,
     ) -> None:
         """
@@ -110,7 +110,7 @@
         self, request: Request, target: TargetState, has_prefill_engine: bool
     ) -> float:
         settings = self._settings
-        cached_tokens = self._memory.expected_tokens(request, target.target_id)
+        cached_tokens = self._memory.expected_cached_tokens(request, target.target_id)
         uncached_tokens = max(1, request.prefill_tokens - cached_tokens)
         delay = target.prefill_delay(settings, uncached_tokens)
         delay += settings.stream_cost * target.streams()
@@ -160,7 +160,7 @@
 
 
 def make_policy(
-    settings: RoutingSettings, data_centre: str, memory: PrefixMemory, random: Random
+    settings: RoutingSettings, data_centre: str, memory: PrefixIndex, random: Random
 ) -> RoutingPolicy:
     """
     Create the policy that the settings name.
@@ -235,7 +235,7 @@
     """
     key = call_digest(request.caller, request.service, request.idempotency_key)
     partition = partition_of(key, partitions)
-    order = list(pool.in_order(ring_hash(f"{request.service}/{partition}")))
+    order = list(pool.ring_order(ring_hash(f"{request.service}/{partition}")))
     available = [target for target in order if target.is_available(now)]
     untried = [target for target in available if target.target_id not in avoid]
     return next(iter(untried or available), None)
--- a/pimentolink/sharedbudget.py
+++ b/pimentolink/sharedbudget.py
@@ -8,7 +8,7 @@
 from types import TracebackType
 from typing import NamedTuple
 
-from pimentolink.errors import UNSENT
+from pimentolink.errors import NOT_SENT_FAILURES
 from pimentolink.gatewaysettings import BudgetSettings, GatewaySettings
 from pimentolink.slackshare import SlackShare
 from pimentolink.timers import Timers
@@ -131,7 +131,7 @@
         traceback: TracebackType | None,
     ) -> None:
         """Refund the grant if the retry reached no target."""
-        if isinstance(error, UNSENT):
+        if isinstance(error, NOT_SENT_FAILURES):
             self._budget.refund(self)
 
 
--- a/pimentolink/sidecar.py
+++ b/pimentolink/sidecar.py
@@ -11,14 +11,14 @@
 from pimentolink import link_pb2
 from pimentolink.adoption import Adoption
 from pimentolink.breaker import BreakerStore
-from pimentolink.claimedcalls import ClaimSource
+from pimentolink.claimedcalls import ClaimPartitions
 from pimentolink.claims import ClaimPartition
 from pimentolink.executor import Executor
 from pimentolink.instances import SIDECAR, Instance, InstanceList
 from pimentolink.kvstore import KeyValueStore
 from pimentolink.links import SidecarLink, SidecarLinkListener
 from pimentolink.logs import Log, LogEvent
-from pimentolink.orders import EngineControl, OrderKeeper
+from pimentolink.orders import EngineControl, EngineReconciler
 from pimentolink.plan import group_of
 from pimentolink.settings import SidecarSettings
 from pimentolink.targets import Target
@@ -90,12 +90,12 @@
         self._executor = Executor(
             settings.queue,
             ports.target,
-            ClaimSource(self._open_partition, self._adoption.claim_partitions),
+            ClaimPartitions(self._open_partition, self._adoption.claim_partitions),
             self._timers,
             Tracing(settings.instance, settings.trace_ratio, self.log),
             settings.claims.answers,
         )
-        self._order_keeper = OrderKeeper(
+        self._order_keeper = EngineReconciler(
             settings.orders,
             settings.target,
             self._store,
@@ -232,7 +232,7 @@
             self._settings.claims,
         )
 
-    def load_due(self, link: SidecarLink) -> link_pb2.Load | None:
+    def take_due_load(self, link: SidecarLink) -> link_pb2.Load | None:
         """Return the load to send with other messages, or ``None`` if not due yet."""
         _, sent_at = self._reports_by_link.get(link, (None, 0.0))
         now = self._timers.now()
@@ -275,7 +275,7 @@
         self._probes_missed += 1
         is_lost = self._probes_missed >= self._settings.probes_missed
         if is_lost and not self._executor.target_is_lost:
-            self._executor.lose_target()
+            self._executor.mark_target_lost()
             self._report_load()
 
     def _register(self, is_leaving: bool) -> None:
--- a/pimentolink/slackshare.py
+++ b/pimentolink/slackshare.py
@@ -89,15 +89,16 @@
         self._lease_held_since = 0.0
         self.listed_count = ListedGatewayCount(timers)
 
-    def lease_renewed(self, asked_at: float) -> None:
+    def lease_renewed(self, requested_at: float) -> None:
         """
         Record that the store holds this gateway's entry.
 
-        :param asked_at: when the renewal was requested, in seconds of the boot clock.
+        :param requested_at: when the renewal was requested, in seconds of the boot
+            clock.
         """
-        if not self._is_lease_valid(asked_at):
+        if not self._is_lease_valid(requested_at):
             self._lease_held_since = self._timers.boot_time()
-        self._renewed_at = asked_at
+        self._renewed_at = requested_at
 
     def lease_lost(self) -> None:
         """Record that the store no longer holds this gateway's entry."""
--- a/pimentolink/suspects.py
+++ b/pimentolink/suspects.py
@@ -72,7 +72,7 @@
     ends_at: float
 
 
-class Suspects:
+class SuspectTracker:
     """
     Tracks which requests were in flight at targets that crashed.
 
--- a/pimentolink/suspectstore.py
+++ b/pimentolink/suspectstore.py
@@ -21,9 +21,9 @@
     crash_messages,
 )
 from pimentolink.retry import Backoff
-from pimentolink.suspects import Suspects
+from pimentolink.suspects import SuspectTracker
 from pimentolink.suspicion import KEEP, MIN_SUSPECT_CRASHES
-from pimentolink.timers import Timer, Timers, in_background, pause
+from pimentolink.timers import Timer, Timers, pause, run_in_background
 
 SUSPECT_PREFIX = "pimentolink/suspects/"
 # Seconds for which a write is delayed, so that further crashes join it.
@@ -96,7 +96,7 @@
         self,
         owner: str,
         keyspace: Keyspace,
-        suspects: Suspects,
+        suspects: SuspectTracker,
         timers: Timers,
         backoff: Backoff,
         random: Random,
@@ -129,7 +129,7 @@
         self._timer: Timer | None = None
         self._due_at = 0.0
         self._writing: Deferred[None] | None = None
-        self.is_divided: Callable[[], bool] = lambda: False
+        self.has_several_cells: Callable[[], bool] = lambda: False
         self.on_message: Callable[[SuspectMessage, str], None] = (
             lambda message, source: None
         )
@@ -190,7 +190,7 @@
 
     def _start_writing(self) -> None:
         self._timer = None
-        self._writing = in_background(self._write())
+        self._writing = run_in_background(self._write())
         self._writing.addCallback(self._writing_done)
 
     def _writing_done(self, _: object) -> None:
@@ -207,7 +207,7 @@
     def _pending_messages(self) -> list[_TimedMessage]:
         """List the messages that are not in the store yet."""
         now = self._timers.now()
-        min_crashes = 1 if self.is_divided() else MIN_SUSPECT_CRASHES
+        min_crashes = 1 if self.has_several_cells() else MIN_SUSPECT_CRASHES
         crashes: list[TargetCrashed | SuspectCleared] = [
             message
             for crash in self._suspects.unstored(min_crashes, now)
--- a/pimentolink/targetestimate.py
+++ b/pimentolink/targetestimate.py
@@ -74,7 +74,7 @@
     orders_accepted: int
     born: int = 0
 
-    def is_of(self, target: Target) -> bool:
+    def is_from(self, target: Target) -> bool:
         """
         Return whether the listed incarnation of a target sent this report.
 
@@ -184,11 +184,11 @@
         return self.target.role is EngineRole.DECODE
 
     @property
-    def is_timed(self) -> bool:
+    def has_measured_costs(self) -> bool:
         """Whether predictions for it are based on measured prefills."""
         return self._costs.is_known(self.is_decode_engine)
 
-    def work_time(self, tokens: int) -> float:
+    def prefill_time(self, tokens: int) -> float:
         """
         Predict the duration of a prefill, without its time in the queue.
 
@@ -230,7 +230,7 @@
         return max(0.0, total - elapsed)
 
     def _prefill_time(self, prefill: Prefill) -> float:
-        return self.work_time(prefill.tokens) + self.copy_time(prefill.copied)
+        return self.prefill_time(prefill.tokens) + self.copy_time(prefill.copied)
 
     def _drop_expired(self, now: float) -> None:
         expired_tickets = [
@@ -256,7 +256,7 @@
         :param copied: tokens whose KV cache it first fetches from another engine.
         :param way: seconds until the prompt reaches the engine.
         """
-        expected = way + self.backlog(now) + self.work_time(tokens)
+        expected = way + self.backlog(now) + self.prefill_time(tokens)
         expires_at = now + 3 * expected + PREFILL_EXPIRY_MARGIN
         prefill = Prefill(tokens, copied, tuple(parts), now + way, expires_at)
         self.prefills_by_ticket[ticket] = prefill
@@ -292,14 +292,14 @@
     def _update_costs(self, prefill: Prefill, took: float) -> None:
         if prefill.copied:
             transfer_time = prefill.copied / self._copy_rate
-            work = self.work_time(prefill.tokens)
+            work = self.prefill_time(prefill.tokens)
             self._costs.learn_copy(took - work - transfer_time)
             return
         usual = self._costs.seconds(prefill.tokens, self.is_decode_engine)
-        if self.is_timed:
+        if self.has_measured_costs:
             self.slowness.learn(usual, took)
             self._costs.usual(self.is_decode_engine).learn(usual, took)
-        self._costs.of_role(self.is_decode_engine).learn(prefill.tokens, took)
+        self._costs.cost_model(self.is_decode_engine).learn(prefill.tokens, took)
 
     def fetched(self, parts: tuple[PromptPart, ...]) -> None:
         """Record that it fetched a prompt, which it caches like one of its own."""
@@ -314,7 +314,7 @@
             self._consecutive_failures = 0
             self._consecutive_ejections = 0
 
-    def refused_connection(self, now: float) -> None:
+    def record_refused_connection(self, now: float) -> None:
         """
         Record that the target refused a connection, so that nothing listens there.
 
@@ -322,7 +322,7 @@
         """
         self.refusing_until = now + CONNECTION_REFUSED_PAUSE
 
-    def forgive(self) -> None:
+    def clear_failures(self) -> None:
         """Clear the failure counts and end an ejection."""
         self.failure_share = 0.0
         self._consecutive_failures = 0
--- a/pimentolink/targetpool.py
+++ b/pimentolink/targetpool.py
@@ -87,7 +87,7 @@
         self.prefill_since_report = 0
         self.sent_since_report = 0
 
-    def turned_work_away(self, until: float) -> None:
+    def suspend_until(self, until: float) -> None:
         """
         Send no work until the next load report shows why the target refused it.
 
@@ -220,7 +220,7 @@
         ]
         return min(left, default=None)
 
-    def in_order(self, key: int) -> Iterator[TargetState]:
+    def ring_order(self, key: int) -> Iterator[TargetState]:
         """
         Iterate over the targets in the order of the ring.
 
--- a/pimentolink/timers.py
+++ b/pimentolink/timers.py
@@ -66,7 +66,7 @@
     return pending
 
 
-def in_background(work: Coroutine[Any, Any, None]) -> Deferred[None]:
+def run_in_background(work: Coroutine[Any, Any, None]) -> Deferred[None]:
     """
     Start a coroutine in the background, to run until it is cancelled.
 
@@ -110,7 +110,9 @@
         timer.cancel()
 
 
-async def together(coroutines: Iterable[Coroutine[Any, Any, Awaited]]) -> list[Awaited]:
+async def await_all(
+    coroutines: Iterable[Coroutine[Any, Any, Awaited]],
+) -> list[Awaited]:
     """
     Run coroutines concurrently and wait for all of them.
 
--- a/pimentolink/usagereporter.py
+++ b/pimentolink/usagereporter.py
@@ -14,9 +14,9 @@
 from pimentolink.gatewaysettings import UsageSettings
 from pimentolink.jsondocument import read_entry
 from pimentolink.keyspace import Change, Item, Keyspace, Write, epoch_of
-from pimentolink.leadership import LEADER_KEY, READ_AGE, Leadership
+from pimentolink.leadership import LEADER_KEY, MAX_READ_AGE, Leadership
 from pimentolink.logs import Log, LogEvent
-from pimentolink.timers import Timers, in_background, pause, with_timeout
+from pimentolink.timers import Timers, pause, run_in_background, with_timeout
 from pimentolink.usagepublisher import UsagePublisher
 
 USAGE_KEY = "pimentolink/usage"
@@ -127,7 +127,7 @@
         self._log = log
         # After this time every report of the previous leader has ended or timed out.
         self._takeover_wait = (
-            max(leadership.lease_time / 2, settings.timeout) + 2 * READ_AGE
+            max(leadership.lease_time / 2, settings.timeout) + 2 * MAX_READ_AGE
         )
         self._committed: _CommittedReport | None = None
         self._key_revision = 0
@@ -142,7 +142,7 @@
     def start(self) -> None:
         """Start reporting; reports are sent only while this gateway leads."""
         self._first_window = self._publisher.window_of(self._clock.now())
-        self._running = in_background(self._run())
+        self._running = run_in_background(self._run())
 
     def stop(self) -> None:
         """Stop reporting."""
@@ -300,7 +300,7 @@
         elif now - self._silent_since >= API_SILENCE_LIMIT:
             # Another gateway may be able to reach the API.
             self._silent_since = None
-            self._leadership.stand_back(STEP_DOWN_TIME)
+            self._leadership.resign(STEP_DOWN_TIME)
 
     def _give_up(self, window: int) -> None:
         """Stop sending a committed report whose deadline has passed."""
--- a/specs/authority.py
+++ b/specs/authority.py
@@ -24,7 +24,7 @@
 # one: it sends no order while another is unanswered.
 # slot: at most one process of the sidecar runs at a time.
 GUARDS = frozenset({"cas", "quiet", "ask", "source", "one", "slot"})
-NO_PLAN = -1
+EMPTY_PLAN = -1
 
 WAITING = "waiting"
 QUIET_OVER = "quiet over"
@@ -59,12 +59,12 @@
     State of the whole system.
 
     :ivar plan: number of the plan in the key-value service.
-    :ivar planners: plan that each of two planners has read, or ``NO_PLAN``.
+    :ivar planners: plan that each of two planners has read, or ``EMPTY_PLAN``.
     :ivar sidecars: running processes of the sidecar; at most one if the guard ``slot``
         is enabled.
     :ivar starts: number of processes started so far.
     :ivar in_flight: orders that were sent and have not begun.
-    :ivar executing: plan that the engine carries out, or ``NO_PLAN``.
+    :ivar executing: plan that the engine carries out, or ``EMPTY_PLAN``.
     :ivar newest: newest plan that the engine has begun.
     :ivar went_back: whether the engine began an older plan after a newer one.
     :ivar overlapped: whether the engine began a plan while it carried out another.
@@ -83,11 +83,11 @@
 
 INITIAL = State(
     plan=0,
-    planners=(NO_PLAN, NO_PLAN),
+    planners=(EMPTY_PLAN, EMPTY_PLAN),
     sidecars=(Sidecar(WAITING, 0, 0),),
     starts=1,
     in_flight=(),
-    executing=NO_PLAN,
+    executing=EMPTY_PLAN,
     newest=0,
     went_back=False,
     overlapped=False,
@@ -109,11 +109,11 @@
 
 def _planner_steps(state: State, guards: frozenset[str]) -> Iterator[tuple[str, State]]:
     for number, plan_read in enumerate(state.planners):
-        if plan_read == NO_PLAN:
+        if plan_read == EMPTY_PLAN:
             planners = _replace_at(state.planners, number, state.plan)
             yield f"planner {number} reads", state._replace(planners=planners)
             continue
-        planners = _replace_at(state.planners, number, NO_PLAN)
+        planners = _replace_at(state.planners, number, EMPTY_PLAN)
         if "cas" in guards and plan_read != state.plan:
             yield f"planner {number} loses", state._replace(planners=planners)
         elif plan_read < LAST_PLAN:
@@ -150,7 +150,7 @@
             yield _update_sidecar(
                 state, number, "ends its quiet time", phase=QUIET_OVER
             )
-    elif "ask" not in guards or state.executing == NO_PLAN:
+    elif "ask" not in guards or state.executing == EMPTY_PLAN:
         yield _update_sidecar(state, number, "finds the engine idle", phase=IDLE)
 
 
@@ -181,11 +181,11 @@
             executing=order.plan,
             newest=max(state.newest, order.plan),
             went_back=state.went_back or order.plan < state.newest,
-            overlapped=state.overlapped or state.executing != NO_PLAN,
+            overlapped=state.overlapped or state.executing != EMPTY_PLAN,
         )
         yield f"engine begins {order.plan}", new
-    if state.executing != NO_PLAN:
-        yield "engine is done", state._replace(executing=NO_PLAN)
+    if state.executing != EMPTY_PLAN:
+        yield "engine is done", state._replace(executing=EMPTY_PLAN)
 
 
 def _failures(state: State, guards: frozenset[str]) -> Iterator[tuple[str, State]]:
--- a/tests/gatewayparts.py
+++ b/tests/gatewayparts.py
@@ -59,20 +59,22 @@
     )._replace(**changes)
 
 
-def fleet(*targets: Target, is_timed: bool = True, **placement: Any) -> Fleet:
+def fleet(*targets: Target, has_measured_costs: bool = True, **placement: Any) -> Fleet:
     """
     Build a fleet of the given targets.
 
-    :param is_timed: whether the fleet has measured costs: prefill engines process
-        10,000 tokens per second, decode engines half as many.
+    :param has_measured_costs: whether the fleet has measured costs: prefill engines
+        process 10,000 tokens per second, decode engines half as many.
     """
     gateway_fleet = Fleet(PlacementSettings(**placement), EjectionSettings(), Random(1))
     gateway_fleet.set_models({"s": MODEL})
     for item in targets:
         gateway_fleet.put(item)
-    for is_decode_engine, rate in ((False, 10_000), (True, 5_000)) if is_timed else ():
+    for is_decode_engine, rate in (
+        ((False, 10_000), (True, 5_000)) if has_measured_costs else ()
+    ):
         for tokens in (1_000, 2_000, 4_000, 8_000):
-            cost = gateway_fleet.costs("s").of_role(is_decode_engine)
+            cost = gateway_fleet.costs("s").cost_model(is_decode_engine)
             cost.learn(tokens, PREFILL_OVERHEAD + tokens / rate)
     return gateway_fleet
 
@@ -84,19 +86,19 @@
     return targets + [target(name, EngineRole.DECODE) for name in names]
 
 
-def queue_over(gateway_fleet: Fleet, **placement: Any) -> PrefillQueue:
+def make_prefill_queue(gateway_fleet: Fleet, **placement: Any) -> PrefillQueue:
     settings = PlacementSettings(**placement)
-    return PrefillQueue(settings, placer_over(gateway_fleet, settings))
+    return PrefillQueue(settings, make_placer(gateway_fleet, settings))
 
 
-def placer_over(
-    gateway_fleet: Fleet, settings: PlacementSettings, megabits: float = 0.0
+def make_placer(
+    gateway_fleet: Fleet, settings: PlacementSettings, megabits_per_second: float = 0.0
 ) -> Placer:
     return Placer(
         settings,
         gateway_fleet,
         "north",
-        EgressQueue(megabits, ManualTimers()),
+        EgressQueue(megabits_per_second, ManualTimers()),
         GatewayDelay(),
     )
 
@@ -120,7 +122,7 @@
         size=size,
         arrived_at=at,
         latency_target=latency_target,
-        on_time_until=at + latency_target,
+        latency_deadline=at + latency_target,
         due_at=at + patience,
     )
 
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -5,7 +5,7 @@
 from twisted.internet.testing import MemoryReactor
 
 from pimentolink.calls import Caller
-from pimentolink.dialect import CallerRequest, Sending, fingerprint_of
+from pimentolink.dialect import CallerRequest, SendOptions, fingerprint_of
 from pimentolink.errors import CannotBeInTime
 from pimentolink.gatewaysettings import ConnectionSettings
 from pimentolink.httptypes import HttpRequest
@@ -63,7 +63,7 @@
     def begin(self, time_left):
         outcome = []
         estimate = self.fleet.targets_by_id["t"]
-        pending = self.caller.begin(REQUEST, estimate, Sending("t", time_left))
+        pending = self.caller.begin(REQUEST, estimate, SendOptions("t", time_left))
         Deferred.fromCoroutine(pending).addBoth(outcome.append)
         return outcome
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -123,7 +123,7 @@
 
     def test_status_tells_what_the_store_lists(self, fleet):
         world = PlatformWorld(fleet)
-        world.start_usual()
+        world.start_default()
         settings_path = str(fleet.folder / "gateway.json")
 
         def read_status():
--- a/tests/test_crashreports.py
+++ b/tests/test_crashreports.py
@@ -16,7 +16,7 @@
     SuspectTried,
     TargetCrashed,
 )
-from pimentolink.suspects import Suspects
+from pimentolink.suspects import SuspectTracker
 from pimentolink.suspicion import SUSPECT_QUARANTINE
 from pimentolink.timers import ManualTimers
 from tests.gatewayparts import fleet, target
@@ -41,7 +41,7 @@
         self.listening = set()
         self.checks = 0
         self.fleet = fleet(*targets)
-        self.suspects = Suspects(Random(1))
+        self.suspects = SuspectTracker(Random(1))
         self.reports = CrashReports(self.suspects, self, self.timers, self)
         self.reports.is_listening = self.is_listening
 
--- a/tests/test_crossedtries.py
+++ b/tests/test_crossedtries.py
@@ -9,7 +9,7 @@
 
 from pimentolink.crashreports import CrashReports
 from pimentolink.peermessages import SuspectTried
-from pimentolink.suspects import Suspects
+from pimentolink.suspects import SuspectTracker
 from pimentolink.suspicion import FAILED_TRIAL_QUARANTINE, SUSPECT_QUARANTINE
 from pimentolink.timers import ManualTimers
 from specs.protocol import make_protocol
@@ -72,7 +72,7 @@
         self.fingerprints = fingerprints
         self.is_announced_in_time = is_announced_in_time
         self.estimate = fleet(target("t3")).targets_by_id["t3"]
-        known = Suspects(WithoutJitter(1))
+        known = SuspectTracker(WithoutJitter(1))
         for key in EARLIER_CRASHES:
             known.record_crash(key, sorted(set(fingerprints) | {FATAL}), 0.0)
         snapshot = pickle.dumps(known)
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -231,7 +231,7 @@
         handler = RecordingHandler()
         harness = ForwarderHarness(handler, KEYS)
         counted = []
-        harness.forwarder.on_run = lambda *args: counted.append(args)
+        harness.forwarder.on_execution_started = lambda *args: counted.append(args)
         harness.send(bearer(b"k-north"))
         handler.served[0].run_began(1.0)
         handler.served[0].run_began(2.0)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -17,7 +17,7 @@
     platform_world = PlatformWorld(fleet)
     # A long window keeps earned retry credit, which lasts for a quarter of it, from
     # expiring during a test.
-    platform_world.start_usual(budget={"window": 60.0})
+    platform_world.start_default(budget={"window": 60.0})
     return platform_world
 
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -12,7 +12,7 @@
 from pimentolink.claimtable import ClaimTable
 from pimentolink.entry import Entry
 from pimentolink.errors import NotRun
-from pimentolink.orders import OrderKeeper
+from pimentolink.orders import EngineReconciler
 from pimentolink.request import Progress
 from tests.scenario import load, run
 from tests.worlds import VirtualWorld
@@ -71,8 +71,10 @@
 
 def ignore_stalls(monkeypatch):
     """Let neither the entry nor the sidecar detect a stalled engine."""
-    monkeypatch.setattr(dispatcher.Dispatcher, "move_stalled", lambda self: None)
-    monkeypatch.setattr(executor.Executor, "lose_target", lambda self: None)
+    monkeypatch.setattr(
+        dispatcher.Dispatcher, "retry_stalled_streams", lambda self: None
+    )
+    monkeypatch.setattr(executor.Executor, "mark_target_lost", lambda self: None)
 
 
 def replace_attribute(owner, name, value):
@@ -82,7 +84,7 @@
 MECHANISMS = {
     "waiting for the engine": (
         "order_outlives_its_sidecar",
-        replace_attribute(OrderKeeper, "_idle_state", state_without_waiting),
+        replace_attribute(EngineReconciler, "_idle_state", state_without_waiting),
     ),
     "holding work before an order": (
         "planned_changes_cut_nothing",
--- a/tests/test_largefleet.py
+++ b/tests/test_largefleet.py
@@ -7,7 +7,7 @@
 from pimentolink.gatewaysettings import PlacementSettings
 from pimentolink.placement import WaitingPrompt
 from pimentolink.targetestimate import EngineRole
-from tests.gatewayparts import MODEL, fleet, placer_over, target
+from tests.gatewayparts import MODEL, fleet, make_placer, target
 
 PREFILL_ENGINES, DECODE_ENGINES = 2_000, 1_000
 PARTS = (PromptPart(1, 5_000), PromptPart(2, 100))
@@ -53,10 +53,10 @@
     def test_engine_that_holds_the_prompt_is_always_compared(self, large_fleet):
         large_fleet.targets_by_id["r1234"].start_prefill("t", 5_100, PARTS, 0.0)
         large_fleet.targets_by_id["r1234"].end_prefill("t", True, 0.0)
-        placer = placer_over(large_fleet, PlacementSettings())
+        placer = make_placer(large_fleet, PlacementSettings())
         for _ in range(50):
             placement = placer.best(prompt(), 0.0)
-            assert placement.held_tokens == 5_099
+            assert placement.cached_tokens == 5_099
             assert placement.estimate.target.target_id == "r1234"
 
     def test_engine_with_more_of_the_prompt_comes_first(self, large_fleet):
@@ -88,4 +88,4 @@
         estimate = large_fleet.put(target("early", EngineRole.DECODE))
         large_fleet.set_models({"s": MODEL})
         estimate.fetched(PARTS)
-        assert estimate.parts.held_tokens(PARTS) == 5_100
+        assert estimate.parts.cached_tokens(PARTS) == 5_100
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,7 +8,7 @@
 from pimentolink import link_pb2
 from pimentolink.claimtable import ClaimState, ClaimTable
 from pimentolink.errors import AlreadyRun, OutcomeUnknown, Overloaded
-from pimentolink.prefixes import PrefixMemory
+from pimentolink.prefixes import PrefixIndex
 from pimentolink.retry import Backoff, RetryBudget
 from pimentolink.router import RoundRobin, Router
 from pimentolink.settings import (
@@ -70,7 +70,7 @@
         """
         target = TargetState("a", "d")
         target.reported(link_pb2.Load(accepting=True))
-        target.turned_work_away(0.25)
+        target.suspend_until(0.25)
         assert not target.is_available(0.2)
         assert target.is_available(0.25)
         target.reported(link_pb2.Load(accepting=False))
@@ -163,9 +163,9 @@
         pool = TargetPool()
         for number in range(20):
             pool.add(TargetState(f"t{number}", "d"))
-        before = [target.target_id for target in pool.in_order(12345)]
+        before = [target.target_id for target in pool.ring_order(12345)]
         pool.remove(before[5])
-        after = [target.target_id for target in pool.in_order(12345)]
+        after = [target.target_id for target in pool.ring_order(12345)]
         assert after == before[:5] + before[6:]
 
     def test_sample_is_bounded(self):
@@ -178,11 +178,16 @@
 
 class TestPrefixMemory:
     def test_is_bounded_and_forgets_the_oldest(self):
-        memory = PrefixMemory(2)
+        memory = PrefixIndex(2)
         memory.note(_request()._replace(prefixes=(1,)), "a")
         memory.note(_request()._replace(prefixes=(2, 3)), "b")
-        assert memory.expected_tokens(_request()._replace(prefixes=(1,)), "a") == 0
-        assert memory.expected_tokens(_request()._replace(prefixes=(2, 3)), "b") == 512
+        assert (
+            memory.expected_cached_tokens(_request()._replace(prefixes=(1,)), "a") == 0
+        )
+        assert (
+            memory.expected_cached_tokens(_request()._replace(prefixes=(2, 3)), "b")
+            == 512
+        )
 
 
 @pytest.mark.parametrize("accepting", [True, False])
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -76,7 +76,7 @@
             self.timers,
             log,
         )
-        self.membership.on_gone = self.gone.append
+        self.membership.on_target_removed = self.gone.append
         self.follower = KeyspaceFollower(
             "", self.store, self.membership, settings, self.timers, Random(1), log
         )
@@ -191,8 +191,8 @@
         assert later is not estimate
         assert later.backlog(world.timers.now()) == 0
         assert later.load() == 0
-        assert later.fetchable.held_tokens([PromptPart(1, 500)]) == 0
-        assert later.parts.held_tokens([PromptPart(1, 500)]) == 0
+        assert later.fetchable.cached_tokens([PromptPart(1, 500)]) == 0
+        assert later.parts.cached_tokens([PromptPart(1, 500)]) == 0
         assert not later.is_ejected(world.timers.now())
         assert world.gone == ["a"]
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -66,7 +66,7 @@
         for index, peer in enumerate(self.peers):
             peer.transport = self.transports[index]
             self.transports[index].other = self.peers[1 - index]
-            peer.tell_to(["127.0.0.1:1"])
+            peer.set_peer_addresses(["127.0.0.1:1"])
             peer.start()
 
     def engine(self, index):
@@ -145,19 +145,19 @@
         assert pair.engine(1).load() == 0
 
     def test_what_waits_at_another_gateway_is_known_within_a_turn(self, pair):
-        pair.peers[0].waiting_work = lambda: {"s": 1.5}
+        pair.peers[0].queued_work_by_service = lambda: {"s": 1.5}
         pair.timers.advance(0.2)
-        assert pair.fleets[1].waiting_elsewhere("s") == pytest.approx(1.5)
-        pair.peers[0].waiting_work = dict
+        assert pair.fleets[1].prefill_work_at_peers("s") == pytest.approx(1.5)
+        pair.peers[0].queued_work_by_service = dict
         pair.timers.advance(0.2)
-        assert pair.fleets[1].waiting_elsewhere("s") == 0
+        assert pair.fleets[1].prefill_work_at_peers("s") == 0
 
     def test_what_waited_at_a_gateway_that_was_killed_is_forgotten(self, pair):
-        pair.peers[0].waiting_work = lambda: {"s": 1.5}
+        pair.peers[0].queued_work_by_service = lambda: {"s": 1.5}
         pair.timers.advance(0.2)
         pair.peers[0].stop()
         pair.timers.advance(PEER_TIMEOUT + 0.3)
-        assert pair.fleets[1].waiting_elsewhere("s") == 0
+        assert pair.fleets[1].prefill_work_at_peers("s") == 0
 
     def test_steady_load_is_told_once_a_second(self, pair):
         pair.engine(0).in_flight = 3
@@ -175,7 +175,7 @@
         assert pair.engine(1).backlog(pair.timers.now()) > 0
         pair.peers[0].broadcast(PrefillEnded(1, ENGINE_KEY, True))
         assert pair.engine(1).backlog(pair.timers.now()) == 0
-        assert pair.engine(1).fetchable.held_tokens([PromptPart(1, 5000)]) == 5000
+        assert pair.engine(1).fetchable.cached_tokens([PromptPart(1, 5000)]) == 5000
 
     def test_reading_of_an_earlier_life_is_not_counted_at_a_later_one(self, pair):
         engine = pair.engine(1)
@@ -186,7 +186,7 @@
         pair.peers[0].broadcast(RoleChanging("e", 60.0, 1))
         later = pair.engine(1)
         assert later.backlog(pair.timers.now()) == 0
-        assert later.parts.held_tokens([PromptPart(1, 5000)]) == 0
+        assert later.parts.cached_tokens([PromptPart(1, 5000)]) == 0
         assert later.is_usable(pair.timers.now())
 
     def test_counts_that_changed_go_along(self, pair):
@@ -368,5 +368,5 @@
         engine = pair.engine(0)
         assert engine.backlog(0.0) >= 0
         assert engine.load() >= 0
-        assert 0 < engine.work_time(1000) < 1000
+        assert 0 < engine.prefill_time(1000) < 1000
         assert engine.is_usable(MAX_ROLE_CHANGE_TIME)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -15,9 +15,9 @@
 from tests.gatewayparts import (
     engines,
     fleet,
-    placer_over,
+    make_placer,
+    make_prefill_queue,
     prompt,
-    queue_over,
     target,
 )
 
@@ -41,7 +41,7 @@
 
     def test_go_where_the_part_was_read(self):
         test_fleet = fleet(*engines(3, 1))
-        queue = queue_over(test_fleet, depth=10.0)
+        queue = make_prefill_queue(test_fleet, depth=10.0)
         for number in range(3):
             waiting = prompt(f"p{number}", 500, SHARED_PART, latency_target=4.0)
             assert queue.add(waiting, 0.0) is None
@@ -50,7 +50,7 @@
 
     def test_are_fetched_once_their_engine_is_behind(self):
         test_fleet = fleet(*engines(2, 1))
-        queue = queue_over(test_fleet, depth=10.0)
+        queue = make_prefill_queue(test_fleet, depth=10.0)
         queue.add(prompt("first", 500, SHARED_PART), 0.0)
         ((_, engine_id),) = place_all(queue, test_fleet)
         test_fleet.targets_by_id[engine_id].end_prefill("first", True, 0.0)
@@ -68,7 +68,7 @@
 
     def test_prompts_beyond_what_can_be_on_time_are_turned_away_at_once(self):
         test_fleet = fleet(*engines(1, 1))
-        queue = queue_over(test_fleet)
+        queue = make_prefill_queue(test_fleet)
         test_fleet.targets_by_id["writer-0"].changing_until = 99.0
         test_fleet.put(target("idle-writer", EngineRole.DECODE, slots=64))
         outcomes = [queue.add(prompt(f"p{n}", 4_000), 0.0) for n in range(12)]
@@ -80,7 +80,7 @@
 
     def test_what_waits_at_other_gateways_counts(self):
         test_fleet = fleet(*engines(2, 1))
-        queue = queue_over(test_fleet)
+        queue = make_prefill_queue(test_fleet)
         test_fleet.update_waiting("other", {"s": 12.0})
         refused = queue.add(prompt("p", 4_000), 0.0)
         assert isinstance(refused, CannotBeInTime)
@@ -89,24 +89,24 @@
 
     def test_work_ahead_is_shared_by_all_engines_of_a_large_service(self):
         test_fleet = fleet(*engines(400, 20))
-        queue = queue_over(test_fleet)
+        queue = make_prefill_queue(test_fleet)
         test_fleet.update_waiting("other", {"s": 200.0})
         assert queue.add(prompt("p", 4_000), 0.0) is None
 
     def test_idle_engines_turn_nothing_away_that_can_be_on_time(self):
         test_fleet = fleet(*engines(2, 1))
-        queue = queue_over(test_fleet)
+        queue = make_prefill_queue(test_fleet)
         assert queue.add(prompt("p", 4_000), 0.0) is None
 
     def test_large_prompt_is_not_turned_away_for_its_size_alone(self):
         test_fleet = fleet(*engines(2, 1))
-        queue = queue_over(test_fleet)
+        queue = make_prefill_queue(test_fleet)
         large = prompt("large", 30_000, latency_target=0.5, patience=8.0)
         assert queue.add(large, 0.0) is None
 
     def test_what_waits_goes_by_worth_for_engine_time(self):
         test_fleet = fleet(*engines(1, 1))
-        queue = queue_over(test_fleet, depth=0.0)
+        queue = make_prefill_queue(test_fleet, depth=0.0)
         for name, tokens in (("long", 6_000), ("short", 500)):
             assert queue.add(prompt(name, tokens, latency_target=2.0), 0.0) is None
         waiting, _ = queue.pop_next(0.0)
@@ -114,7 +114,7 @@
 
     def test_what_can_be_on_time_goes_before_what_is_late(self):
         test_fleet = fleet(*engines(1, 1))
-        queue = queue_over(test_fleet, depth=0.0, late_factor=9.0)
+        queue = make_prefill_queue(test_fleet, depth=0.0, late_factor=9.0)
         assert queue.add(prompt("late", 900, at=-0.99), 0.0) is None
         assert queue.add(prompt("on-time", 1_500), 0.0) is None
         waiting, _ = queue.pop_next(0.0)
@@ -122,7 +122,7 @@
 
     def test_engines_are_sent_little_ahead_of_need(self):
         test_fleet = fleet(*engines(1, 1))
-        queue = queue_over(test_fleet, depth=0.25, late_factor=9.0)
+        queue = make_prefill_queue(test_fleet, depth=0.25, late_factor=9.0)
         test_fleet.targets_by_id["writer-0"].in_flight = 60
         for number in range(8):
             queue.add(prompt(f"p{number}", 2_000), 0.0)
@@ -135,7 +135,7 @@
 
     def test_hopeless_prompts_are_given_up_before_they_are_due(self):
         test_fleet = fleet(*engines(1, 1))
-        queue = queue_over(test_fleet, depth=0.0, late_factor=9.0)
+        queue = make_prefill_queue(test_fleet, depth=0.0, late_factor=9.0)
         assert queue.add(prompt("p", 4_000, patience=1.0), 0.0) is None
         assert queue.pop_unservable(0.3) == []
         assert [item.request_id for item in queue.pop_unservable(0.9)] == ["p"]
@@ -217,7 +217,7 @@
     """Load pattern: gateways with links of 5 and 200 Mbit/s share the same engines."""
 
     def test_way_to_an_engine_is_no_time_of_the_engine(self):
-        test_fleet = fleet(*engines(1, 1), is_timed=False)
+        test_fleet = fleet(*engines(1, 1), has_measured_costs=False)
         prefill_engine = test_fleet.targets_by_id["reader-0"]
         for number in range(8):
             tokens = 1_000 * (1 + number % 4)
@@ -226,19 +226,19 @@
             prefill_engine.end_prefill(
                 f"r{number}", True, sent_at + 0.2 + tokens / 10_000
             )
-        assert prefill_engine.work_time(2_000) == pytest.approx(0.2, rel=0.01)
+        assert prefill_engine.prefill_time(2_000) == pytest.approx(0.2, rel=0.01)
 
     def test_prompt_on_its_way_keeps_no_engine_busy(self):
         test_fleet = fleet(*engines(1, 1))
         prefill_engine = test_fleet.targets_by_id["reader-0"]
         prefill_engine.start_prefill("r", 1_000, (), 0.0, way=0.5)
         assert prefill_engine.backlog(0.0) == pytest.approx(
-            prefill_engine.work_time(1_000)
+            prefill_engine.prefill_time(1_000)
         )
         assert prefill_engine.backlog(0.5) == pytest.approx(
-            prefill_engine.work_time(1_000)
+            prefill_engine.prefill_time(1_000)
         )
-        assert prefill_engine.backlog(0.55) < prefill_engine.work_time(1_000)
+        assert prefill_engine.backlog(0.55) < prefill_engine.prefill_time(1_000)
 
     def test_prompt_that_the_link_makes_late_is_turned_away_at_once(self):
         test_fleet = fleet(*engines(2, 2))
@@ -256,20 +256,23 @@
         test_fleet = fleet(*engines(2, 2))
         settings = PlacementSettings()
         waiting = prompt("p", 500)._replace(body_bytes=90_000)
-        for megabits, role in ((200.0, EngineRole.PREFILL), (5.0, EngineRole.DECODE)):
-            placer = placer_over(test_fleet, settings, megabits)
+        for megabits_per_second, role in (
+            (200.0, EngineRole.PREFILL),
+            (5.0, EngineRole.DECODE),
+        ):
+            placer = make_placer(test_fleet, settings, megabits_per_second)
             assert placer.best(waiting, 0.0).estimate.target.role is role
 
     def test_delay_of_this_gateway_is_expected_but_no_time_of_the_engine(self):
         test_fleet = fleet(*engines(1, 1))
-        own_delay = GatewayDelay()
+        gateway_delay = GatewayDelay()
         egress_queue = EgressQueue(0.0, ManualTimers())
         placer = Placer(
-            PlacementSettings(), test_fleet, "north", egress_queue, own_delay
+            PlacementSettings(), test_fleet, "north", egress_queue, gateway_delay
         )
         before = placer.best(prompt("p"), 0.0)
         for _ in range(98):
-            own_delay.learn(0.05, 0.0)
+            gateway_delay.learn(0.05, 0.0)
         after = placer.best(prompt("p"), 0.0)
         assert after.done_at == pytest.approx(before.done_at + 0.049)
         assert after.engine_done_at == before.engine_done_at
@@ -277,7 +280,7 @@
     def test_readings_that_gateways_delay_leave_engines_as_fast_as_they_are(self):
         test_fleet = fleet(*engines(2, 1))
         random = Random(3)
-        baseline = test_fleet.targets_by_id["reader-0"].work_time(4_000)
+        baseline = test_fleet.targets_by_id["reader-0"].prefill_time(4_000)
         for number in range(400):
             prefill_engine = test_fleet.targets_by_id[f"reader-{number % 2}"]
             started_at = 10.0 * number
@@ -286,14 +289,14 @@
                 random.expovariate(2.0) if random.random() < 0.6 else 0.0
             )
             prefill_engine.end_prefill(f"r{number}", True, started_at + took)
-        assert prefill_engine.work_time(4_000) < 1.5 * baseline
+        assert prefill_engine.prefill_time(4_000) < 1.5 * baseline
 
     def test_engine_that_turned_slow_is_told_from_the_others(self):
         test_fleet = fleet(*engines(3, 1))
         prefill_engines = [
             test_fleet.targets_by_id[f"reader-{number}"] for number in range(3)
         ]
-        baseline = prefill_engines[0].work_time(4_000)
+        baseline = prefill_engines[0].prefill_time(4_000)
         for number in range(60):
             for prefill_engine, slowdown in zip(
                 prefill_engines, (5, 1, 1), strict=True
@@ -303,21 +306,21 @@
                 prefill_engine.end_prefill(
                     f"r{number}", True, started_at + slowdown * baseline
                 )
-        assert prefill_engines[0].work_time(4_000) > 3 * baseline
-        assert 0.7 * baseline < prefill_engines[1].work_time(4_000) < 1.4 * baseline
+        assert prefill_engines[0].prefill_time(4_000) > 3 * baseline
+        assert 0.7 * baseline < prefill_engines[1].prefill_time(4_000) < 1.4 * baseline
 
 
 class TestRoles:
     def test_no_writer_means_that_nothing_can_be_served(self):
         test_fleet = fleet(*engines(2, 0))
-        queue = queue_over(test_fleet)
+        queue = make_prefill_queue(test_fleet)
         assert isinstance(queue.add(prompt("p"), 0.0), NoTarget)
 
     def test_busy_writer_is_spared_from_reading(self):
         test_fleet = fleet(*engines(1, 1))
         test_fleet.targets_by_id["writer-0"].in_flight = 20
         test_fleet.targets_by_id["reader-0"].start_prefill("r", 4_000, (), 0.0)
-        queue = queue_over(test_fleet, late_factor=9.0)
+        queue = make_prefill_queue(test_fleet, late_factor=9.0)
         queue.add(prompt("p", 2_000), 0.0)
         placement = queue._placer.best(prompt("p", 2_000), 0.0)
         assert placement.estimate.target.target_id == "reader-0"
@@ -327,7 +330,7 @@
             target("here", EngineRole.DECODE),
             target("there", EngineRole.DECODE, data_centre="south"),
         )
-        placer = queue_over(test_fleet)._placer
+        placer = make_prefill_queue(test_fleet)._placer
         assert placer.writer("s", "south", 0.0).target.target_id == "there"
         test_fleet.targets_by_id["there"].in_flight = 30
         assert placer.writer("s", "south", 0.0).target.target_id == "here"
@@ -341,7 +344,7 @@
             slow.start_prefill("r", 1_000, (), 0.0)
             slow.end_prefill("r", True, 0.5)
             slow._last_prefill_end = 0.0
-        queue = queue_over(test_fleet)
+        queue = make_prefill_queue(test_fleet)
         queue.add(prompt("p"), 0.0)
         _, placement = queue.pop_next(0.0)
         assert placement.estimate.target.target_id != "reader-0"
@@ -369,14 +372,17 @@
         decode_engine = test_fleet.targets_by_id["writer-0"]
         for _ in range(3):
             test_fleet.failed(decode_engine, 0.0)
-        assert queue_over(test_fleet)._placer.writer("s", "north", 0.1) is decode_engine
+        assert (
+            make_prefill_queue(test_fleet)._placer.writer("s", "north", 0.1)
+            is decode_engine
+        )
 
     def test_failures_that_a_freeze_explains_are_forgiven(self):
         test_fleet = fleet(*engines(4, 0))
         estimate = test_fleet.targets_by_id["reader-0"]
         for _ in range(3):
             test_fleet.failed(estimate, 0.0)
-        test_fleet.forgive(0.1)
+        test_fleet.clear_failures(0.1)
         assert len(test_fleet.usable("s", 0.2)) == 4
         assert not any(test_fleet.failed(estimate, 0.5) for _ in range(5))
         assert len(test_fleet.usable("s", 0.6)) == 4
@@ -397,10 +403,10 @@
     estimate = test_fleet.targets_by_id["reader-0"]
     for number in range(count):
         estimate.start_prefill(str(number), 1_000, (), 0.0)
-    assert estimate.backlog(0.0) == pytest.approx(count * estimate.work_time(1_000))
+    assert estimate.backlog(0.0) == pytest.approx(count * estimate.prefill_time(1_000))
     estimate.end_prefill("0", True, 0.0)
     assert estimate.backlog(0.0) == pytest.approx(
-        (count - 1) * estimate.work_time(1_000)
+        (count - 1) * estimate.prefill_time(1_000)
     )
 
 
--- a/tests/test_platform_dialect.py
+++ b/tests/test_platform_dialect.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from result import Err, Ok
 
-from pimentolink.dialect import PromptPart, Sending
+from pimentolink.dialect import PromptPart, SendOptions
 from pimentolink.errors import InvalidRequest, ReplyInvalid
 from pimentolink.httptypes import HttpReply, HttpRequest, ReplyHead
 from pimentolink.peermessages import PrefillStarted
@@ -20,7 +20,7 @@
     PlatformDialect,
     read_request,
 )
-from pimentolink.prefillscheduler import parts_of
+from pimentolink.prefillscheduler import encode_parts
 from tests.jsonvalues import DOCUMENTS, likely
 
 NUMBERS = st.one_of(
@@ -111,15 +111,17 @@
         assert parsed_request.prompt_tokens >= 0
         assert all(part.tokens >= 0 for part in parsed_request.parts)
         message = PrefillStarted(
-            1, 2, parsed_request.prompt_tokens, parts_of(parsed_request.parts)
+            1, 2, parsed_request.prompt_tokens, encode_parts(parsed_request.parts)
         )
         assert PeerOutbox("life").add(message)
-        PlatformDialect().sending(parsed_request, Sending("e", parsed_request.patience))
+        PlatformDialect().sending(
+            parsed_request, SendOptions("e", parsed_request.patience)
+        )
 
 
 class TestReply:
     def test_cache_is_named(self):
-        parsed = PlatformDialect().read_prompt(
+        parsed = PlatformDialect().read_prefill_reply(
             make_reply(b'{"kvHandle":"3f","tokens":7}')
         )
         name = PlatformDialect().cache_source("10.0.0.1:80", parsed.unwrap())
@@ -128,7 +130,7 @@
     @pytest.mark.parametrize("handle", ["", "a\r\nX: y", "a b", "a/b", "é", "a" * 500])
     def test_name_that_fits_into_no_header_is_refused(self, handle):
         body = msgspec.json.encode({"kvHandle": handle, "tokens": 1})
-        parsed = PlatformDialect().read_prompt(make_reply(body))
+        parsed = PlatformDialect().read_prefill_reply(make_reply(body))
         assert isinstance(parsed.err(), ReplyInvalid)
 
     def test_deep_nesting_is_refused(self):
@@ -138,13 +140,15 @@
     @settings(max_examples=10_000, deadline=None)
     @given(body=likely("kvHandle", "tokens", "version") | DOCUMENTS)
     def test_any_answer_to_a_reading_is_read_or_refused(self, body):
-        parsed = PlatformDialect().read_prompt(make_reply(body))
+        parsed = PlatformDialect().read_prefill_reply(make_reply(body))
         if isinstance(parsed, Ok):
             name = PlatformDialect().cache_source("10.0.0.1:80", parsed.ok_value)
             headers = [("Host", "x"), ("Source", name)]
             h11.Request(method="GET", target="/", headers=headers)
             h11.Request(
-                **head_fields(PlatformDialect().drop_cache("x", parsed.ok_value))
+                **head_fields(
+                    PlatformDialect().release_cache_request("x", parsed.ok_value)
+                )
             )
         else:
             assert isinstance(parsed.err_value, ReplyInvalid)
@@ -171,7 +175,7 @@
         | DOCUMENTS
     )
     def test_any_list_of_parts_is_read_or_refused(self, body):
-        parsed = PlatformDialect().read_parts(make_reply(body))
+        parsed = PlatformDialect().read_cache_contents(make_reply(body))
         if isinstance(parsed, Err):
             assert isinstance(parsed.err_value, ReplyInvalid)
             return
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -90,7 +90,7 @@
         self.registration = Registration(
             settings, "life", self.store, self.timers, Random(1), Log()
         )
-        self.registration.on_store_back = self.follower.restart
+        self.registration.on_store_recovered = self.follower.restart
         self.follower.start()
         self.registration.start()
 
@@ -122,7 +122,7 @@
         world.store._keyspace.read_all = lambda prefix: (
             read.append(1) or read_all(prefix)
         )
-        world.follower.may_ask = lambda: world.registration.is_answered
+        world.follower.may_ask = lambda: world.registration.is_store_reachable
         world.timers.advance(3.3)
         world.store._keyspace.set_down(True)
         world.timers.advance(10.0)
@@ -133,6 +133,6 @@
 
     def test_steady_store_is_read_once(self, world):
         restarts = []
-        world.registration.on_store_back = lambda: restarts.append(1)
+        world.registration.on_store_recovered = lambda: restarts.append(1)
         world.timers.advance(60.0)
         assert restarts == []
--- a/tests/test_rolecontroller.py
+++ b/tests/test_rolecontroller.py
@@ -175,7 +175,7 @@
     def test_nothing_is_ordered_after_a_freeze_until_the_lease_is_renewed(self, world):
         controller = world.gateway()
         world.timers.advance(5.0)
-        controller._leadership.distrust()
+        controller._leadership.invalidate_lease()
         change = controller._balancer.decide("s", world.timers.now() + 9.0)
         assert change is not None
         assert not controller._may_order(change)
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -14,7 +14,7 @@
     QUARANTINE_JITTER,
     SUCCESS_TTL,
     TRIAL_TIME,
-    Suspects,
+    SuspectTracker,
 )
 from pimentolink.suspicion import (
     FAILED_TRIAL_QUARANTINE,
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def suspects():
-    return Suspects(Random(1))
+    return SuspectTracker(Random(1))
 
 
 def crash(suspects, target, now, *names):
@@ -219,7 +219,7 @@
     @pytest.mark.parametrize("own, other", [(FATAL, OTHER), (OTHER, FATAL)])
     def test_of_tries_that_cross_exactly_one_may_blame(self, suspects, own, other):
         """Two gateways begin a trial each, before they learn of the other's."""
-        gateways = {own: suspects, other: Suspects(Random(2))}
+        gateways = {own: suspects, other: SuspectTracker(Random(2))}
         now = 2 * SUSPECT_QUARANTINE
         for name, gateway in gateways.items():
             for target in (1, 2):
@@ -335,7 +335,7 @@
         )
     )
     def test_order_of_news_never_holds_a_cleared_crash(self, steps):
-        suspects, now, cleared = Suspects(Random(1)), 0.0, set()
+        suspects, now, cleared = SuspectTracker(Random(1)), 0.0, set()
         for what, target, name, wait in steps:
             now += wait
             if what == "broke":
--- a/tests/test_suspectstore.py
+++ b/tests/test_suspectstore.py
@@ -10,7 +10,7 @@
 from pimentolink.memorykeyspace import MemoryKeyspace
 from pimentolink.peermessages import SuspectCleared, TargetCrashed
 from pimentolink.retry import Backoff
-from pimentolink.suspects import Suspects
+from pimentolink.suspects import SuspectTracker
 from pimentolink.suspectstore import (
     BATCH_DELAY,
     MAX_DOCUMENT_MESSAGES,
@@ -31,7 +31,7 @@
 
     def __init__(self, name, keyspace, timers):
         self.keyspace, self.timers, self.lines = keyspace, timers, []
-        self.suspects = Suspects(Random(name))
+        self.suspects = SuspectTracker(Random(name))
         self.reports = CrashReports(self.suspects, self, timers, self)
         self.store = SuspectStore(
             name,
@@ -120,7 +120,7 @@
 
     def test_between_cells_the_first_crash_is_known(self, world):
         gateway = world.gateway("g1")
-        gateway.store.is_divided = lambda: True
+        gateway.store.has_several_cells = lambda: True
         gateway.detect_crash(1, FATAL)
         world.timers.advance(BATCH_DELAY)
         later = world.gateway("g2")
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -21,9 +21,9 @@
 from pimentolink.adoption import Adoption
 from pimentolink.configuration import AcceptedConfiguration, Configuration, Role, check
 from pimentolink.logs import Log
-from pimentolink.plan import NO_PLAN, Group, Plan, wanted_of
+from pimentolink.plan import EMPTY_PLAN, Group, Plan, desired_state
 from pimentolink.planner import TargetView
-from pimentolink.prefixes import PrefixMemory
+from pimentolink.prefixes import PrefixIndex
 from pimentolink.request import Request
 from pimentolink.roles import MixRoles
 from pimentolink.router import PredictedWork
@@ -167,7 +167,7 @@
     settings = RoutingSettings()
     for count in POOL_SIZES:
         pool = _pool(count)
-        policy = PredictedWork(settings, "d", PrefixMemory(1000), Random(1))
+        policy = PredictedWork(settings, "d", PrefixIndex(1000), Random(1))
         request = _request()
         microseconds = _median_microseconds(
             partial(policy.choose, request, pool, [], 1.0)
@@ -285,8 +285,8 @@
     """Compute the plan of one group, as the planner does in each round."""
     configured: dict[str, Role] = dict.fromkeys(names, "mixed")
     roles = policy.choose(Group("m", "r"), configured, configured, views)
-    desired = {name: wanted_of(accepted, "m", roles[name]) for name in names}
-    return NO_PLAN.changed("me", 1, desired)
+    desired = {name: desired_state(accepted, "m", roles[name]) for name in names}
+    return EMPTY_PLAN.changed("me", 1, desired)
 
 
 def _adopt_configuration(data: bytes) -> bool:
--- a/tools/demo_platform.py
+++ b/tools/demo_platform.py
@@ -13,7 +13,7 @@
     """Start all processes, send typical requests, and stop all processes."""
     with Fleet() as fleet:
         world = PlatformWorld(fleet)
-        world.start_usual()
+        world.start_default()
         print("two engines, two plain targets, one gateway: ready")
         ask_model(world)
         ask_plain(world)
--- a/tools/enginemodel.py
+++ b/tools/enginemodel.py
@@ -96,8 +96,8 @@
         """
         now = self._timers.now()
         prefill_start = max(now, self._prefill_busy_until)
-        cached_tokens = self._planned_cache.held_tokens(parts)
-        source_tokens = source._cache.held_tokens(parts) if source is not None else 0
+        cached_tokens = self._planned_cache.cached_tokens(parts)
+        source_tokens = source._cache.cached_tokens(parts) if source is not None else 0
         copied = max(0, source_tokens - cached_tokens)
         tokens = max(1, sum(part.tokens for part in parts) - cached_tokens - copied)
         prefill_time = self.figures.overhead + tokens / self._effective_prefill_rate()
@@ -118,7 +118,7 @@
 
         :raises ConnectionBroken: if this engine crashes meanwhile.
         """
-        missing = sum(part.tokens for part in parts) - self._cache.held_tokens(parts)
+        missing = sum(part.tokens for part in parts) - self._cache.cached_tokens(parts)
         await self._wait(missing / self.figures.copy_rate)
         self._planned_cache.note(parts)
         self._cache.note(parts)
--- a/tools/platformworld.py
+++ b/tools/platformworld.py
@@ -116,7 +116,7 @@
             ]
         self.put("op/config", configuration)
 
-    def start_usual(self, **settings: Any) -> None:
+    def start_default(self, **settings: Any) -> None:
         """
         Start two engines, two plain targets and one gateway, and wait until ready.
 
--- a/tools/replay.py
+++ b/tools/replay.py
@@ -14,7 +14,7 @@
 from pimentolink.crashreports import CrashReports
 from pimentolink.dialect import CallerRequest, PromptPart
 from pimentolink.egressqueue import EgressQueue
-from pimentolink.errors import USUAL_PAUSE, Failure, Quarantined
+from pimentolink.errors import DEFAULT_RETRY_AFTER, Failure, Quarantined
 from pimentolink.fleet import Fleet
 from pimentolink.gatewaydelay import GatewayDelay
 from pimentolink.gatewaysettings import EjectionSettings, PlacementSettings
@@ -29,11 +29,11 @@
     SuspectMessage,
 )
 from pimentolink.peerupdates import PeerUpdates
-from pimentolink.placement import Placement, Placer, SizeScale, WaitingPrompt
+from pimentolink.placement import Placement, Placer, RequestValueModel, WaitingPrompt
 from pimentolink.prefillqueue import PrefillQueue
 from pimentolink.prefillscheduler import PrefillScheduler
 from pimentolink.routes import EngineModel
-from pimentolink.suspects import Suspects
+from pimentolink.suspects import SuspectTracker
 from pimentolink.targetestimate import EngineRole, Target, TargetEstimate
 from pimentolink.timers import ManualTimers, Repeater, pause, with_timeout
 from tools.enginemodel import EngineFigures, ModelEngine
@@ -203,7 +203,7 @@
     random = Random(seed)
     found: list[Request] = []
     for kind_number, (name, kind) in enumerate(load.kinds.items()):
-        scale = SizeScale()
+        scale = RequestValueModel()
         at = random.expovariate(kind.rate)
         while at < load.lasts:
             topic = random.randrange(kind.topics)
@@ -324,14 +324,14 @@
         return Placement(
             estimate=engine,
             tokens=prompt.prompt_tokens,
-            held_tokens=0,
+            cached_tokens=0,
             done_at=now,
             copy_from="",
             copied_tokens=0,
             is_prefill_only=is_prefill_engine,
             engine_done_at=now,
             way=0.0,
-            hand_over=0.0,
+            handover_time=0.0,
         )
 
     def pick(self, engines: list[TargetEstimate]) -> TargetEstimate:
@@ -380,12 +380,12 @@
     """One gateway's decisions, with modelled engines behind them."""
 
     def __init__(
-        self, name: str, policy: Policy, replay: Replay, megabits: float
+        self, name: str, policy: Policy, replay: Replay, megabits_per_second: float
     ) -> None:
         """
         Put the decisions together.
 
-        :param megabits: a second that its link carries; 0 is without bound.
+        :param megabits_per_second: a second that its link carries; 0 is without bound.
         """
         self._name = name
         self._replay = replay
@@ -397,18 +397,18 @@
         self.fleet.set_models({SERVICE: model})
         for engine in replay.engines_by_name.values():
             self.fleet.put(_listed(engine))
-        self._egress_queue = EgressQueue(megabits, timers)
-        own_delay = GatewayDelay()
+        self._egress_queue = EgressQueue(megabits_per_second, timers)
+        gateway_delay = GatewayDelay()
         known = self._egress_queue if policy.knows_link else EgressQueue(0.0, timers)
         self.placer = policy.placer(
-            policy.settings, self.fleet, "here", known, own_delay
+            policy.settings, self.fleet, "here", known, gateway_delay
         )
         self._queue = queue = PrefillQueue(policy.settings, self.placer)
         self.readings = PrefillScheduler(
-            queue, self, timers, QuietLog(), name, own_delay
+            queue, self, timers, QuietLog(), name, gateway_delay
         )
         self._book = PeerUpdates(self.fleet)
-        self._suspects = Suspects(Random(name))
+        self._suspects = SuspectTracker(Random(name))
         self.crashes = CrashReports(self._suspects, self, timers, QuietLog())
         self._is_suspecting = policy.suspects
         replay.wire.hearers_by_gateway[name] = self._hear
@@ -449,7 +449,7 @@
             for name, estimate in self.fleet.targets_by_id.items()
             if estimate.in_flight
         }
-        waiting = self._queue.waiting_work()
+        waiting = self._queue.queued_work_by_service()
         self.broadcast(InFlight(self._name, counts, True, waiting))
         if self._tells_open:
             self.broadcast(self.readings.open_prefills())
@@ -482,7 +482,7 @@
             size=request.size,
             arrived_at=now,
             latency_target=kind.latency_target,
-            on_time_until=request.at + kind.latency_target,
+            latency_deadline=request.at + kind.latency_target,
             due_at=due_at,
             body_bytes=self._body_bytes(request, kind),
         )
@@ -689,7 +689,7 @@
                 if isinstance(failure, Quarantined) and request.returns is None:
                     self._mistaken.add(request.number)
                 if tries_left:
-                    told = failure.retry_after or USUAL_PAUSE
+                    told = failure.retry_after or DEFAULT_RETRY_AFTER
                     left = due_at - self.timers.now()
                     await pause(self.timers, min(told, left / 3))
             else:
--- a/tools/stepsource.py
+++ b/tools/stepsource.py
@@ -34,7 +34,7 @@
             target_id=self._target_id, data_centre=self._data_centre
         )
 
-    def load_due(self, link: Any) -> link_pb2.Load | None:
+    def take_due_load(self, link: Any) -> link_pb2.Load | None:
         """Report load by itself only."""
         return None
 
