--- a/pimentolink/crashreports.py
+++ b/pimentolink/crashreports.py
@@ -7,6 +7,7 @@
 
 from twisted.internet.defer import Deferred
 
+from pimentolink.crashhistory import MIN_SUSPECT_CRASHES
 from pimentolink.dialect import CallerRequest
 from pimentolink.logs import Log, LogEvent
 from pimentolink.peermessages import (
@@ -19,7 +20,6 @@
     crash_messages,
 )
 from pimentolink.suspects import SuspectTracker
-from pimentolink.suspicion import MIN_SUSPECT_CRASHES
 from pimentolink.targetestimate import Target, TargetEstimate
 from pimentolink.timers import Timers, pause
 
--- a/pimentolink/gateway.py
+++ b/pimentolink/gateway.py
@@ -14,7 +14,6 @@
 from pimentolink.authentication import Authenticator
 from pimentolink.cachelearning import CacheLearning
 from pimentolink.callerhttp import CallerFactory
-from pimentolink.calls import Caller
 from pimentolink.cells import Cells
 from pimentolink.configurationage import ConfigurationAge
 from pimentolink.configurationverifier import ConfigurationVerifier
@@ -49,6 +48,7 @@
 from pimentolink.settings import split_address
 from pimentolink.sharedbudget import SharedBudgets
 from pimentolink.stalldetector import StallDetector
+from pimentolink.targetclient import Caller
 from pimentolink.timers import Repeater, Timers, pause
 from pimentolink.usagereporter import UsageApi
 
--- a/pimentolink/generation.py
+++ b/pimentolink/generation.py
@@ -6,7 +6,6 @@
 
 from twisted.internet.defer import Deferred
 
-from pimentolink.calls import Call, Caller
 from pimentolink.dialect import Dialect, PrefilledPrompt, SendOptions, Verdict
 from pimentolink.errors import (
     NOT_SENT_FAILURES,
@@ -26,6 +25,7 @@
 from pimentolink.prefillscheduler import DispatchedPrefill, PrefillScheduler
 from pimentolink.retrylimiter import RetryLimiter
 from pimentolink.routes import Repeatability
+from pimentolink.targetclient import Call, Caller
 from pimentolink.targetestimate import TargetEstimate
 from pimentolink.timers import Timers, with_timeout
 
--- a/pimentolink/plaincalls.py
+++ b/pimentolink/plaincalls.py
@@ -6,7 +6,6 @@
 
 from twisted.internet.defer import CancelledError, Deferred
 
-from pimentolink.calls import Caller
 from pimentolink.dialect import Dialect, SendOptions, Verdict
 from pimentolink.errors import (
     Failure,
@@ -21,6 +20,7 @@
 from pimentolink.httptypes import HttpReply
 from pimentolink.retrylimiter import RetryLimiter
 from pimentolink.routes import Repeatability
+from pimentolink.targetclient import Caller
 from pimentolink.targetestimate import TargetEstimate
 from pimentolink.timers import Timers
 
--- a/pimentolink/porcelain.py
+++ b/pimentolink/porcelain.py
@@ -22,6 +22,7 @@
     differences,
     read_documents,
 )
+from pimentolink.crashhistory import KEEP
 from pimentolink.deploymentstatus import DeploymentStatus, StatusReader
 from pimentolink.errors import (
     ConfigurationConflict,
@@ -48,7 +49,6 @@
     SuspectDocument,
     clearing_key,
 )
-from pimentolink.suspicion import KEEP
 
 MAX_WRITE_ATTEMPTS = 5
 
--- a/pimentolink/suspects.py
+++ b/pimentolink/suspects.py
@@ -7,13 +7,13 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from pimentolink.errors import Quarantined
-from pimentolink.suspicion import (
+from pimentolink.crashhistory import (
     MIN_SUSPECT_CRASHES,
     SUSPECT_QUARANTINE,
     CrashHistory,
     quarantine_time,
 )
+from pimentolink.errors import Quarantined
 
 # Jitter of quarantines as a share of their length, so that gateways do not all begin
 # a trial at the same moment.
--- a/pimentolink/suspectstore.py
+++ b/pimentolink/suspectstore.py
@@ -10,6 +10,7 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
+from pimentolink.crashhistory import KEEP, MIN_SUSPECT_CRASHES
 from pimentolink.errors import KeyValueUnavailable, LeaseLost
 from pimentolink.jsondocument import read_entry
 from pimentolink.keyspace import Change, Keyspace, Write
@@ -22,7 +23,6 @@
 )
 from pimentolink.retry import Backoff
 from pimentolink.suspects import SuspectTracker
-from pimentolink.suspicion import KEEP, MIN_SUSPECT_CRASHES
 from pimentolink.timers import Timer, Timers, pause, run_in_background
 
 SUSPECT_PREFIX = "pimentolink/suspects/"
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -13,7 +13,7 @@
     RejectedUnrun,
 )
 from pimentolink.routes import Repeatability
-from tests.gatewayparts import route
+from tests.gatewaybuilders import route
 
 
 class TestOnce:
--- a/tests/test_callerhttp.py
+++ b/tests/test_callerhttp.py
@@ -9,7 +9,7 @@
 from pimentolink.metrics import Metrics
 from pimentolink.routes import CallerBounds
 from pimentolink.timers import ManualTimers
-from tests.gatewayparts import SocketTransport
+from tests.gatewaybuilders import SocketTransport
 
 HEAD = b"POST /p HTTP/1.1\r\nHost: x\r\n"
 PIECES = st.lists(st.binary(min_size=1, max_size=40), max_size=5)
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -4,7 +4,7 @@
 
 from pimentolink.cells import Cells
 from pimentolink.targetestimate import EngineRole
-from tests.gatewayparts import fleet, target
+from tests.gatewaybuilders import fleet, target
 
 
 def data_centre_by_gateway(gateways, data_centres):
--- a/tests/test_configurationverifier.py
+++ b/tests/test_configurationverifier.py
@@ -15,7 +15,7 @@
 from pimentolink.platform.documents import CONFIGURATION_KEY, PlatformDocuments
 from pimentolink.routes import RoutingTables
 from pimentolink.timers import ManualTimers
-from tests.gatewayparts import fleet, gateway_settings
+from tests.gatewaybuilders import fleet, gateway_settings
 
 BOUND = 5.0
 
--- a/tests/test_crashreports.py
+++ b/tests/test_crashreports.py
@@ -5,6 +5,7 @@
 import pytest
 from twisted.internet.defer import Deferred
 
+from pimentolink.crashhistory import SUSPECT_QUARANTINE
 from pimentolink.crashreports import TRIAL_NOTICE, CrashReports
 from pimentolink.dialect import CallerRequest
 from pimentolink.errors import Quarantined
@@ -17,9 +18,8 @@
     TargetCrashed,
 )
 from pimentolink.suspects import SuspectTracker
-from pimentolink.suspicion import SUSPECT_QUARANTINE
 from pimentolink.timers import ManualTimers
-from tests.gatewayparts import fleet, target
+from tests.gatewaybuilders import fleet, target
 
 FATAL = "f" * 32
 
--- a/tests/test_crossedtries.py
+++ b/tests/test_crossedtries.py
@@ -7,13 +7,13 @@
 import pytest
 from minicheck import check_safety
 
+from pimentolink.crashhistory import FAILED_TRIAL_QUARANTINE, SUSPECT_QUARANTINE
 from pimentolink.crashreports import CrashReports
 from pimentolink.peermessages import SuspectTried
 from pimentolink.suspects import SuspectTracker
-from pimentolink.suspicion import FAILED_TRIAL_QUARANTINE, SUSPECT_QUARANTINE
 from pimentolink.timers import ManualTimers
 from specs.protocol import make_protocol
-from tests.gatewayparts import fleet, target
+from tests.gatewaybuilders import fleet, target
 from tests.test_crashreports import make_request
 from tools.replay import QuietLog
 
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -16,7 +16,7 @@
 from pimentolink.metrics import Metrics
 from pimentolink.routes import RoutingTable, RoutingTables
 from pimentolink.timers import ManualTimers
-from tests.gatewayparts import route
+from tests.gatewaybuilders import route
 
 
 class RecordingLog:
--- a/tests/test_largefleet.py
+++ b/tests/test_largefleet.py
@@ -7,7 +7,7 @@
 from pimentolink.gatewaysettings import PlacementSettings
 from pimentolink.placement import WaitingPrompt
 from pimentolink.targetestimate import EngineRole
-from tests.gatewayparts import MODEL, fleet, make_placer, target
+from tests.gatewaybuilders import MODEL, fleet, make_placer, target
 
 PREFILL_ENGINES, DECODE_ENGINES = 2_000, 1_000
 PARTS = (PromptPart(1, 5_000), PromptPart(2, 100))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -20,7 +20,7 @@
 from pimentolink.settings import split_address
 from pimentolink.targetestimate import EngineRole
 from pimentolink.timers import ManualTimers
-from tests.gatewayparts import MODEL, gateway_settings
+from tests.gatewaybuilders import MODEL, gateway_settings
 from tests.jsonvalues import DOCUMENTS, likely
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -24,7 +24,7 @@
 from pimentolink.registration import GatewayEntry
 from pimentolink.targetestimate import EngineRole
 from pimentolink.timers import ManualTimers
-from tests.gatewayparts import fleet, target
+from tests.gatewaybuilders import fleet, target
 from tests.jsonvalues import VALUES
 
 ENGINE_KEY = target_key("e", 0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -12,7 +12,7 @@
 from pimentolink.prefillqueue import PrefillQueue
 from pimentolink.targetestimate import EngineRole
 from pimentolink.timers import ManualTimers
-from tests.gatewayparts import (
+from tests.gatewaybuilders import (
     engines,
     fleet,
     make_placer,
--- a/tests/test_prefillscheduler.py
+++ b/tests/test_prefillscheduler.py
@@ -7,7 +7,7 @@
 from pimentolink.peermessages import OpenPrefills
 from pimentolink.prefillscheduler import PrefillScheduler
 from pimentolink.timers import ManualTimers
-from tests.gatewayparts import engines, fleet, make_prefill_queue, prompt
+from tests.gatewaybuilders import engines, fleet, make_prefill_queue, prompt
 
 
 class RecordingPublisher:
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -11,7 +11,7 @@
 from pimentolink.memorykeyspace import MemoryKeyspace
 from pimentolink.registration import Registration
 from pimentolink.timers import ManualTimers
-from tests.gatewayparts import gateway_settings
+from tests.gatewaybuilders import gateway_settings
 
 
 class WatchDroppingStore:
--- a/tests/test_rolebalance.py
+++ b/tests/test_rolebalance.py
@@ -3,7 +3,7 @@
 from pimentolink.gatewaysettings import RoleSettings
 from pimentolink.rolebalance import RoleBalancer
 from pimentolink.targetestimate import EngineRole
-from tests.gatewayparts import engines, fleet
+from tests.gatewaybuilders import engines, fleet
 
 
 def simulate(
--- a/tests/test_rolecontroller.py
+++ b/tests/test_rolecontroller.py
@@ -16,7 +16,7 @@
 from pimentolink.rolecontroller import ORDER_UNCERTAINTY, RoleController
 from pimentolink.targetestimate import EngineRole
 from pimentolink.timers import ManualTimers
-from tests.gatewayparts import engines, fleet, gateway_settings
+from tests.gatewaybuilders import engines, fleet, gateway_settings
 
 LIST_LAG = 4.0
 
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -5,7 +5,7 @@
 from result import Err
 
 from pimentolink.routes import RoutingTable, RoutingTables, WeightedService
-from tests.gatewayparts import route
+from tests.gatewaybuilders import route
 
 
 def table(version=1, *routes):
--- a/tests/test_sharedbudget.py
+++ b/tests/test_sharedbudget.py
@@ -13,7 +13,7 @@
 from pimentolink.sharedbudget import EarnedRetryCredit, SharedBudgets
 from pimentolink.slackshare import ListedGatewayCount
 from pimentolink.timers import ManualTimers
-from tests.gatewayparts import gateway_settings
+from tests.gatewaybuilders import gateway_settings
 from tools.fleet import wait_until
 from tools.platformworld import PlatformWorld
 
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -6,6 +6,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from pimentolink.crashhistory import (
+    FAILED_TRIAL_QUARANTINE,
+    KEEP,
+    SUSPECT_QUARANTINE,
+    quarantine_time,
+)
 from pimentolink.errors import Quarantined
 from pimentolink.suspects import (
     MAX_BROKEN_PER_TARGET,
@@ -16,12 +22,6 @@
     TRIAL_TIME,
     SuspectTracker,
 )
-from pimentolink.suspicion import (
-    FAILED_TRIAL_QUARANTINE,
-    KEEP,
-    SUSPECT_QUARANTINE,
-    quarantine_time,
-)
 
 FATAL, OTHER = "f" * 32, "0" * 32
 
--- a/tests/test_suspectstore.py
+++ b/tests/test_suspectstore.py
@@ -5,6 +5,7 @@
 import pytest
 from hypothesis import given, settings
 
+from pimentolink.crashhistory import FAILED_TRIAL_QUARANTINE, KEEP
 from pimentolink.crashreports import CrashReports
 from pimentolink.keyspace import Change
 from pimentolink.memorykeyspace import MemoryKeyspace
@@ -19,7 +20,6 @@
     SUSPECT_PREFIX,
     SuspectStore,
 )
-from pimentolink.suspicion import FAILED_TRIAL_QUARANTINE, KEEP
 from pimentolink.timers import ManualTimers
 from tests.jsonvalues import DOCUMENTS
 
--- a/tests/test_calls.py
+++ b/tests/test_targetclient.py
@@ -4,7 +4,6 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.testing import MemoryReactor
 
-from pimentolink.calls import Caller
 from pimentolink.dialect import CallerRequest, SendOptions, fingerprint_of
 from pimentolink.errors import CannotBeInTime
 from pimentolink.gatewaysettings import ConnectionSettings
@@ -12,8 +11,9 @@
 from pimentolink.logs import Log
 from pimentolink.metrics import Metrics
 from pimentolink.platform.dialect import PlatformDialect
+from pimentolink.targetclient import Caller
 from pimentolink.timers import ManualTimers
-from tests.gatewayparts import fleet, target
+from tests.gatewaybuilders import fleet, target
 
 REQUEST = CallerRequest(
     request_id="a",
--- a/tests/test_targethttp.py
+++ b/tests/test_targethttp.py
@@ -13,7 +13,7 @@
 from pimentolink.httptypes import HttpRequest
 from pimentolink.targethttp import ConnectionPool, TargetConnection
 from pimentolink.timers import ManualTimers
-from tests.gatewayparts import SocketTransport
+from tests.gatewaybuilders import SocketTransport
 
 REQUEST = HttpRequest(b"GET", b"/", ((b"Host", b"a"),))
 
--- a/tests/test_usagereporter.py
+++ b/tests/test_usagereporter.py
@@ -15,7 +15,7 @@
 from pimentolink.metering import Metering
 from pimentolink.timers import ManualTimers
 from pimentolink.usagereporter import USAGE_KEY
-from tests.gatewayparts import gateway_settings
+from tests.gatewaybuilders import gateway_settings
 
 WINDOW = 5.0
 LATE = 10.0
