--- a/pimentolink/attempts.py
+++ b/pimentolink/attempts.py
@@ -88,7 +88,7 @@
             self._may_have_run_target_ids.add(self._pending_target_id)
             self._pending_target_id = ""
 
-    def final(self, failure: Failure) -> Failure:
+    def final_failure(self, failure: Failure) -> Failure:
         """
         Return the failure to report to the caller after the last attempt.
 
@@ -101,7 +101,7 @@
             return OutcomeUnknown(str(failure))
         return TargetFailed(str(failure))
 
-    def expired(self, failure: Failure) -> Failure:
+    def deadline_failure(self, failure: Failure) -> Failure:
         """
         Return the failure to report to the caller once the deadline has passed.
 
--- a/pimentolink/cells.py
+++ b/pimentolink/cells.py
@@ -37,7 +37,7 @@
         self._cell_by_data_centre: dict[str, int] = {}
         self.count = 1
 
-    def divide(self, data_centres_by_gateway: Mapping[str, str]) -> bool:
+    def update_cells(self, data_centres_by_gateway: Mapping[str, str]) -> bool:
         """
         Derive the cells from the current list of gateways.
 
--- a/pimentolink/clocksync.py
+++ b/pimentolink/clocksync.py
@@ -8,7 +8,7 @@
 
 # Seconds between two reports of the own clock, and the time for which a report of
 # another gateway is used; several in a row may be lost.
-TELL_INTERVAL = 5.0
+REPORT_INTERVAL = 5.0
 SAMPLE_LIFETIME = 30.0
 
 
@@ -31,7 +31,7 @@
         self._timers = timers
         self._samples_by_life: dict[str, tuple[float, float]] = {}
 
-    def told(self, life: str, wall_time: float) -> None:
+    def add_sample(self, life: str, wall_time: float) -> None:
         """
         Record the time of another gateway's wall clock.
 
--- a/pimentolink/configurationage.py
+++ b/pimentolink/configurationage.py
@@ -44,7 +44,7 @@
         """Return the time in seconds on the clock that :meth:`proven` expects."""
         return self._timers.boot_time()
 
-    def proven(self, requested_at: float, epoch: int) -> None:
+    def record_verification(self, requested_at: float, epoch: int) -> None:
         """
         Record that the configuration in force is the newest that the store has.
 
@@ -66,7 +66,7 @@
             self._verified_at = requested_at
         self.log_transition()
 
-    def read(self, is_readable: bool) -> None:
+    def set_readable(self, is_readable: bool) -> None:
         """
         Record whether the newest configuration could be parsed.
 
--- a/pimentolink/configurationverifier.py
+++ b/pimentolink/configurationverifier.py
@@ -94,7 +94,7 @@
         self._running: Deferred[None] | None = None
         self.is_needed: Callable[[], bool] = lambda: True
         # Whether to query the store; avoids useless calls while it does not respond.
-        self.may_ask: Callable[[], bool] = lambda: True
+        self.may_call_store: Callable[[], bool] = lambda: True
         self.gateways: Callable[[], Iterable[str]] = tuple
         self.version: Callable[[], int] = int
         self.on_change: Callable[[Change], None] = lambda change: None
@@ -113,7 +113,7 @@
         self.stop()
         self.start()
 
-    def take(
+    def handle_message(
         self, message: VerificationMessage, send_reply: Callable[[Message], None]
     ) -> None:
         """
@@ -160,7 +160,7 @@
         reader = self._select_reader()
         if reader is not None and await self._verify_with_peer(reader):
             return True
-        return self.may_ask() and await self._verify_with_store()
+        return self.may_call_store() and await self._verify_with_store()
 
     def _select_reader(self) -> str | None:
         """Return the reader to ask; ``None`` if this gateway reads the key itself."""
@@ -185,7 +185,7 @@
         age = reply.age_ms / 1000
         if reply.version > self.version() or age > PEER_MAX_AGE_SHARE * self._max_age:
             return False
-        self._age.proven(requested_at - age, reply.epoch)
+        self._age.record_verification(requested_at - age, reply.epoch)
         return True
 
     async def _request_from_peer(self, gateway: str) -> VerificationReply | None:
@@ -213,7 +213,7 @@
             return False
         if item is not None:
             self._apply(item)
-            self._age.proven(requested_at, epoch_of(item.revision))
+            self._age.record_verification(requested_at, epoch_of(item.revision))
         return True
 
     def _apply(self, item: Item) -> None:
--- a/pimentolink/crashhistory.py
+++ b/pimentolink/crashhistory.py
@@ -4,7 +4,7 @@
 
 # Seconds for which a crash counts against the requests that were in flight; as long
 # as the longest lease of the key-value store.
-KEEP = 600.0
+CRASH_TTL = 600.0
 # Crashes from which on a request is a suspect and quarantined. A single crash proves
 # nothing, since it affects every request in flight at the target.
 MIN_SUSPECT_CRASHES = 2
@@ -48,7 +48,7 @@
 
     def expire(self, now: float) -> None:
         """Remove crashes older than their time to live."""
-        begin = now - KEEP
+        begin = now - CRASH_TTL
         old = [key for key, at in self.recorded_at_by_target.items() if at < begin]
         for key in old:
             self.remove(key)
--- a/pimentolink/crashreports.py
+++ b/pimentolink/crashreports.py
@@ -157,7 +157,7 @@
         self._log_suspects(recorded, "own")
         self.on_crash_recorded(True)
 
-    def answered(self, request: CallerRequest) -> None:
+    def request_succeeded(self, request: CallerRequest) -> None:
         """Clear a request that got its complete response."""
         fingerprint = request.fingerprint
         crashes = self._suspects.answered(fingerprint, self._timers.now())
@@ -168,7 +168,7 @@
         self._log_cleared(cleared, "answered")
         self.on_cleared(cleared)
 
-    def take(self, message: SuspectMessage, source: str) -> None:
+    def receive(self, message: SuspectMessage, source: str) -> None:
         """
         Apply a message from another gateway.
 
--- a/pimentolink/deploymentstatus.py
+++ b/pimentolink/deploymentstatus.py
@@ -115,7 +115,7 @@
         elif item.key.startswith(SUSPECT_PREFIX):
             document = self._decode(item, SuspectDocument)
             if document is not None:
-                self._suspects.take(document)
+                self._suspects.add(document)
 
     def _read_configuration(self, item: Item) -> None:
         found = self._documents.read_configuration(item.value)
--- a/pimentolink/dialect.py
+++ b/pimentolink/dialect.py
@@ -36,7 +36,7 @@
     :ivar host: host that the caller named, without a port.
     :ivar path: path with the query.
     :ivar arrived_at: time of arrival in seconds of the timer service.
-    :ivar patience: seconds that the caller waits; ``None`` if it did not say.
+    :ivar caller_timeout: seconds that the caller waits; ``None`` if it did not say.
     :ivar parts: parts of the prompt in order; the last one is specific to the request.
     :ivar prompt_tokens: length of the whole prompt in tokens.
     :ivar output_tokens: maximum length of the response in tokens.
@@ -51,7 +51,7 @@
     host: str
     path: str
     arrived_at: float
-    patience: float | None
+    caller_timeout: float | None
     parts: tuple[PromptPart, ...] = ()
     prompt_tokens: int = 0
     output_tokens: int = 0
@@ -137,7 +137,9 @@
     ) -> Result[CallerRequest, InvalidRequest]:
         """Parse a caller's request."""
 
-    def sending(self, request: CallerRequest, sending: SendOptions) -> HttpRequest:
+    def target_request(
+        self, request: CallerRequest, options: SendOptions
+    ) -> HttpRequest:
         """Build the request to a target."""
 
     def is_reply_to(self, request: CallerRequest, head: ReplyHead) -> bool:
@@ -176,7 +178,7 @@
     def read_report(self, reply: HttpReply) -> Result[EngineReport, ReplyInvalid]:
         """Parse an engine's report."""
 
-    def change_role(
+    def role_change_request(
         self,
         estimate: TargetEstimate,
         report: EngineReport,
--- a/pimentolink/directwrite.py
+++ b/pimentolink/directwrite.py
@@ -27,7 +27,7 @@
     def write(self: Any, data: bytes) -> None:
         """Write what the socket accepts now and buffer the rest."""
         if self.egress_queue is not None:
-            self.egress_queue.sent(len(data))
+            self.egress_queue.record_sent(len(data))
         if self._can_write_now():
             written = self.writeSomeData(data)
             # Twisted returns an exception instead of a count if the connection was
--- a/pimentolink/dispatcher.py
+++ b/pimentolink/dispatcher.py
@@ -393,11 +393,11 @@
         progress.last_token_at = self._timers.now()
         if progress.first_token_at is None:
             progress.first_token_at = progress.last_token_at
-            self._memory.note(progress.request, progress.target_id)
+            self._memory.record_prefill(progress.request, progress.target_id)
         active.reply.tokens(accepted.ok_value)
 
     def _handle_finish(self, active: _ActiveRequest, finish: link_pb2.Finish) -> None:
-        self._tracing.put(active.progress.request.request_id, finish.spans)
+        self._tracing.add_encoded(active.progress.request.request_id, finish.spans)
         target = self._directory.target(active.progress.target_id)
         if finish.outcome == link_pb2.COMPLETE:
             if target is not None:
--- a/pimentolink/egressqueue.py
+++ b/pimentolink/egressqueue.py
@@ -34,7 +34,7 @@
         self._timers = timers
         self._free_at = 0.0
 
-    def sent(self, size: int) -> None:
+    def record_sent(self, size: int) -> None:
         """Record bytes written now, to any destination."""
         begins_at = max(self._free_at, self._timers.now())
         self._free_at = begins_at + size * self._seconds_per_byte
--- a/pimentolink/endedtargets.py
+++ b/pimentolink/endedtargets.py
@@ -35,13 +35,13 @@
         """Start without targets."""
         self._known_by_incarnation: dict[tuple[str, int], _Known] = {}
 
-    def leaving(self, target: Target, epoch: int) -> None:
+    def mark_leaving(self, target: Target, epoch: int) -> None:
         """Record that a target announced its shutdown."""
         self._known_by_incarnation[(target.target_id, target.born)] = _Known(
             epoch, None
         )
 
-    def ended(self, target: Target, epoch: int, now: float) -> None:
+    def mark_ended(self, target: Target, epoch: int, now: float) -> None:
         """Record that a target is no longer listed."""
         self._known_by_incarnation[(target.target_id, target.born)] = _Known(epoch, now)
         self._expire(now)
--- a/pimentolink/entry.py
+++ b/pimentolink/entry.py
@@ -183,7 +183,7 @@
             "targets": list(self.directory.describe()),
         }
 
-    def greeting(self) -> link_pb2.EntryHello:
+    def make_hello(self) -> link_pb2.EntryHello:
         """Build the message that opens a link."""
         return link_pb2.EntryHello(
             instance_id=self._settings.instance,
--- a/pimentolink/executor.py
+++ b/pimentolink/executor.py
@@ -13,7 +13,7 @@
 from pimentolink.links import SidecarLink
 from pimentolink.outcomes import finish_from_answer, finish_from_failure
 from pimentolink.settings import QueueSettings
-from pimentolink.targetqueue import LOWEST_PRIORITY, TargetQueue, Waiting
+from pimentolink.targetqueue import LOWEST_PRIORITY, QueuedRequest, TargetQueue
 from pimentolink.targets import Target, TargetCall
 from pimentolink.timers import Timers
 from pimentolink.tracing import Tracing
@@ -130,7 +130,7 @@
             self._attempts_by_key[attempt.key] = attempt
             if self._claimed_calls.join(attempt):
                 return
-        queued = Waiting(
+        queued = QueuedRequest(
             attempt.key,
             min(submit.priority, LOWEST_PRIORITY),
             self._timers.now(),
@@ -245,7 +245,7 @@
         attempt.span.set_attribute("outcome", finish.error_code or "complete")
         attempt.call_span.end()
         attempt.span.end()
-        finish.spans = self._tracing.take(attempt.submit.request_id)
+        finish.spans = self._tracing.pop_encoded(attempt.submit.request_id)
         attempt.link.send_event(
             link_pb2.Event(
                 attempt_id=attempt.key.attempt_id, offset=attempt.offset, finish=finish
@@ -325,7 +325,7 @@
         self._claimed_calls.abandon(attempt)
         attempt.call_span.end()
         attempt.span.end()
-        self._tracing.take(attempt.submit.request_id)
+        self._tracing.pop_encoded(attempt.submit.request_id)
         self._remove_attempt(attempt)
         self._start_next()
 
--- a/pimentolink/fleet.py
+++ b/pimentolink/fleet.py
@@ -40,7 +40,7 @@
         self.estimates_by_id.pop(estimate.target.target_id, None)
         self._in_own_cell = None
 
-    def divide(self) -> None:
+    def update_cells(self) -> None:
         """Discard the cached list after a change of cells."""
         self._in_own_cell = None
 
@@ -102,7 +102,7 @@
             for work_by_service in self._prefill_work_by_gateway.values()
         )
 
-    def divide(self, cells: Cells, cell: int) -> None:
+    def update_cells(self, cells: Cells, cell: int) -> None:
         """
         Set the cells, which decide the targets whose load this gateway learns.
 
@@ -112,7 +112,7 @@
         self._cells, self._cell = cells, cell
         for groups in self._groups_by_service.values():
             for group in groups.values():
-                group.divide()
+                group.update_cells()
 
     def _is_in_own_cell(self, target: Target) -> bool:
         return self._cells.of(target.target_id, target.data_centre) == self._cell
@@ -167,7 +167,7 @@
         estimate = self.targets_by_id.pop(target_id, None)
         if estimate is not None:
             self._group(estimate.target).remove(estimate)
-            estimate.parts.forget()
+            estimate.parts.clear()
             if self._estimates_by_key.get(estimate.target.key) is estimate:
                 del self._estimates_by_key[estimate.target.key]
         return estimate
--- a/pimentolink/forwarder.py
+++ b/pimentolink/forwarder.py
@@ -67,7 +67,7 @@
     """Do nothing."""
 
 
-class Work:
+class PendingRequest:
     """
     A request that is being served.
 
@@ -107,8 +107,8 @@
         self._has_begun_run = False
         self._on_run = on_execution_started
         timeout = route.timeout
-        if request.patience is not None:
-            timeout = min(timeout, request.patience)
+        if request.caller_timeout is not None:
+            timeout = min(timeout, request.caller_timeout)
         self.due_at = request.arrived_at + timeout
         self.priority = route.priority
         if organisation is not None and organisation.priority is not None:
@@ -156,7 +156,7 @@
 class WorkHandler(Protocol):
     """Serves requests of one kind."""
 
-    def serve(self, work: Work) -> Coroutine[Any, Any, None]:
+    def serve(self, work: PendingRequest) -> Coroutine[Any, Any, None]:
         """
         Serve a request.
 
@@ -225,7 +225,7 @@
 
     def _admit(
         self, http: HttpRequest, responder: Responder
-    ) -> Result[Work, _AdmissionFailure]:
+    ) -> Result[PendingRequest, _AdmissionFailure]:
         current = self._tables.current()
         if isinstance(current, Err):
             return current
@@ -247,7 +247,7 @@
         request = _with_organisation(authenticated.ok_value, request, table)
         service = route.ok_value.pick_service(self._random)
         return Ok(
-            Work(
+            PendingRequest(
                 request,
                 route.ok_value,
                 service,
@@ -258,7 +258,7 @@
             )
         )
 
-    async def _serve(self, work: Work) -> None:
+    async def _serve(self, work: PendingRequest) -> None:
         self._metrics.count("requests", work.route.name)
         handler = self._generations if work.route.is_generation else self._calls
         now = self._timers.now()
@@ -269,16 +269,16 @@
             no_capacity = CannotBeInTime(
                 "no target had room in time", DEFAULT_RETRY_AFTER
             )
-            self._fail(work, work.attempts.expired(no_capacity))
+            self._fail(work, work.attempts.deadline_failure(no_capacity))
         except Failure as failure:
-            self._fail(work, work.attempts.final(failure))
+            self._fail(work, work.attempts.final_failure(failure))
         except CancelledError:
             self._log_cancelled(work)
             raise
         else:
             self._record_answer(work)
 
-    def _log_cancelled(self, work: Work) -> None:
+    def _log_cancelled(self, work: PendingRequest) -> None:
         """
         Log where a request was when its caller disconnected.
 
@@ -294,7 +294,7 @@
             left=round(work.time_left(now), 3),
         )
 
-    def _record_answer(self, work: Work) -> None:
+    def _record_answer(self, work: PendingRequest) -> None:
         now = self._timers.now()
         took = now - work.request.arrived_at
         first = (work.first_event_at or now) - work.request.arrived_at
@@ -308,7 +308,7 @@
             took=round(took, 3),
         )
 
-    def _fail(self, work: Work, failure: Failure) -> None:
+    def _fail(self, work: PendingRequest, failure: Failure) -> None:
         self._metrics.count("failed", failure.code)
         self._log_outcome(
             LogEvent.REQUEST_FAILED,
@@ -324,7 +324,9 @@
         else:
             answer_failure(work.responder, failure)
 
-    def _log_outcome(self, event: LogEvent, work: Work, **outcome: object) -> None:
+    def _log_outcome(
+        self, event: LogEvent, work: PendingRequest, **outcome: object
+    ) -> None:
         """Write the log line for the outcome of a request and what led to it."""
         self._log.write(
             event,
--- a/pimentolink/gateway.py
+++ b/pimentolink/gateway.py
@@ -48,7 +48,7 @@
 from pimentolink.settings import split_address
 from pimentolink.sharedbudget import SharedBudgets
 from pimentolink.stalldetector import StallDetector
-from pimentolink.targetclient import Caller
+from pimentolink.targetclient import TargetClient
 from pimentolink.timers import Repeater, Timers, pause
 from pimentolink.usagereporter import UsageApi
 
@@ -134,7 +134,7 @@
             self.log,
         )
         self._quarantine.store.has_several_cells = lambda: self._cells.count > 1
-        self._caller = Caller(
+        self._target_client = TargetClient(
             directwrite.DirectEndpointReactor(reactor, self._egress_queue),
             settings.connections,
             self.fleet,
@@ -144,8 +144,8 @@
             self.log,
             self.metrics,
         )
-        self._quarantine.reports.is_listening = self._caller.is_listening
-        self._caller.max_connections = self._max_connections
+        self._quarantine.reports.is_listening = self._target_client.is_listening
+        self._target_client.max_connections = self._max_connections
         placer = Placer(
             settings.placement,
             self.fleet,
@@ -153,7 +153,7 @@
             self._egress_queue,
             self._gateway_delay,
         )
-        self.readings = self._make_prefill_scheduler(placer)
+        self.prefill_scheduler = self._make_prefill_scheduler(placer)
         self.forwarder = self._make_forwarder(placer)
         self.membership = self._make_membership(documents)
         self._follower = KeyspaceFollower(
@@ -165,14 +165,14 @@
             self._random,
             self.log,
         )
-        self.readings.estimate_age = self._follower.age
+        self.prefill_scheduler.estimate_age = self._follower.age
         self._registration = Registration(
             settings, self._incarnation, keyspace, timers, self._random, self.log
         )
         self._registration.on_store_recovered = self._reread_store
         self._registration.on_renewed = self.budgets.share.lease_renewed
-        self._registration.on_lost = self.budgets.share.lease_lost
-        self._follower.may_ask = self._may_call_store
+        self._registration.on_lease_lost = self.budgets.share.lease_lost
+        self._follower.may_call_store = self._may_call_store
         self.leadership = Leadership(
             settings, self._incarnation, keyspace, timers, self._random, self.log
         )
@@ -197,7 +197,7 @@
     def _make_prefill_scheduler(self, placer: Placer) -> PrefillScheduler:
         self._prefill_queue = PrefillQueue(self._settings.placement, placer)
         self._peers.queued_work_by_service = self._prefill_queue.queued_work_by_service
-        readings = PrefillScheduler(
+        prefill_scheduler = PrefillScheduler(
             self._prefill_queue,
             self._peers,
             self._timers,
@@ -205,8 +205,8 @@
             self._incarnation,
             self._gateway_delay,
         )
-        self._peers.open_prefills = readings.open_prefills
-        return readings
+        self._peers.open_prefills = prefill_scheduler.open_prefills
+        return prefill_scheduler
 
     def _make_membership(self, documents: DocumentReader) -> Membership:
         settings, timers = self._settings, self._timers
@@ -223,7 +223,7 @@
             learning = CacheLearning(
                 self._dialect,
                 self.fleet,
-                self._caller.alone,
+                self._target_client.call_on_new_connection,
                 timers,
                 self._random,
                 self.log,
@@ -231,7 +231,7 @@
             membership.on_first_snapshot = learning.query_all
         membership.on_changed = self._membership_changed
         self._peers.find_address = membership.find_address
-        membership.on_target_removed = self._caller.forget
+        membership.on_target_removed = self._target_client.forget
         membership.on_target_ended = self._quarantine.reports.target_ended
         membership.on_suspects = self._quarantine.store.key_changed
         return membership
@@ -256,10 +256,10 @@
             self._timers,
         )
         verifier.is_needed = self._uses_api_keys
-        verifier.may_ask = self._may_call_store
+        verifier.may_call_store = self._may_call_store
         verifier.gateways = lambda: self._cell_gateways
         verifier.version = lambda: self.tables.table.version if self.tables.table else 0
-        self._peers.on_verification_message = verifier.take
+        self._peers.on_verification_message = verifier.handle_message
         verifier.on_change = self.membership.key_changed
         return verifier
 
@@ -285,7 +285,7 @@
         )
         metering.publisher.gateways = lambda: self.membership.gateways_by_name
         self.membership.on_usage = metering.key_changed
-        self.forwarder.on_execution_started = metering.begun
+        self.forwarder.on_execution_started = metering.request_started
         return metering
 
     def _make_role_controller(self) -> RoleController:
@@ -296,7 +296,7 @@
             balancer,
             self.fleet,
             self._dialect,
-            self._caller.alone,
+            self._target_client.call_on_new_connection,
             self._peers,
             self._timers,
             self.log,
@@ -308,16 +308,16 @@
         settings, timers = self._settings, self._timers
         retry_limiter = RetryLimiter(self.budgets, self.log, self.metrics)
         generations = GenerationHandler(
-            self._caller,
+            self._target_client,
             self._dialect,
-            self.readings,
+            self.prefill_scheduler,
             placer,
             retry_limiter,
             timers,
             self.log,
         )
         calls = PlainCallHandler(
-            self._caller,
+            self._target_client,
             self._dialect,
             self.fleet,
             retry_limiter,
@@ -460,10 +460,10 @@
         data_centre_by_gateway = {
             name: entry.data_centre for name, entry in gateways.items()
         }
-        has_changed = self._cells.divide(data_centre_by_gateway)
+        has_changed = self._cells.update_cells(data_centre_by_gateway)
         cell = self._cells.of(settings.instance, settings.data_centre)
         if has_changed:
-            self.fleet.divide(self._cells, cell)
+            self.fleet.update_cells(self._cells, cell)
             self.log.write(
                 LogEvent.CELL_CHANGED,
                 cell=cell,
@@ -474,16 +474,16 @@
         self._cell_gateways = tuple(peers)
         self._peers.set_peer_addresses(peers.values())
         self.budgets.share.listed_count.update(len(gateways))
-        self.readings.look()
+        self.prefill_scheduler.dispatch_waiting()
 
     def _dispatch_prefills(self) -> None:
-        self.readings.look()
+        self.prefill_scheduler.dispatch_waiting()
 
     def _stall_ended(self) -> None:
         """Read the store again, since its state may have changed during the stall."""
         self.fleet.clear_failures(self._timers.now())
         self._reread_store()
-        self._registration.check()
+        self._registration.renew_now()
         self.leadership.invalidate_lease()
 
     def _may_call_store(self) -> bool:
@@ -499,7 +499,7 @@
         """Read the store again, and write again what the restore lost."""
         self.log.write(LogEvent.STORE_RESTORED, epoch=self._keyspace.epoch)
         self._reread_store()
-        self._registration.check()
+        self._registration.renew_now()
         self._quarantine.store.restored()
 
     def is_ready(self) -> bool:
@@ -507,7 +507,7 @@
         return (
             not self.is_stopping
             and self.tables.table is not None
-            and self.membership.is_known
+            and self.membership.is_loaded
             and (not self._uses_api_keys() or self.age.is_current())
         )
 
--- a/pimentolink/generation.py
+++ b/pimentolink/generation.py
@@ -18,14 +18,14 @@
     StreamBroken,
 )
 from pimentolink.eventstream import EventSplitter, is_after
-from pimentolink.forwarder import Work, forward_reply
+from pimentolink.forwarder import PendingRequest, forward_reply
 from pimentolink.httptypes import HttpReply, end_to_end
 from pimentolink.logs import Log, LogEvent
 from pimentolink.placement import MAX_SIZE, Placer, RequestValueModel, WaitingPrompt
 from pimentolink.prefillscheduler import DispatchedPrefill, PrefillScheduler
 from pimentolink.retrylimiter import RetryLimiter
 from pimentolink.routes import Repeatability
-from pimentolink.targetclient import Call, Caller
+from pimentolink.targetclient import TargetCall, TargetClient
 from pimentolink.targetestimate import TargetEstimate
 from pimentolink.timers import Timers, with_timeout
 
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        caller: Caller,
+        target_client: TargetClient,
         dialect: Dialect,
         prefill_scheduler: PrefillScheduler,
         placer: Placer,
@@ -70,7 +70,7 @@
         """
         Create a handler.
 
-        :param caller: sends requests to targets.
+        :param target_client: sends requests to targets.
         :param dialect: parses responses.
         :param prefill_scheduler: queues prompts.
         :param placer: chooses engines for the decode.
@@ -78,7 +78,7 @@
         :param timers: the timer service.
         :param log: records streams that broke.
         """
-        self._caller = caller
+        self._target_client = target_client
         self._dialect = dialect
         self._prefill_scheduler = prefill_scheduler
         self._placer = placer
@@ -87,7 +87,7 @@
         self._log = log
         self._sizes = RequestValueModel()
 
-    async def serve(self, work: Work) -> None:
+    async def serve(self, work: PendingRequest) -> None:
         """Serve a request."""
         self._retry_limiter.earn(work)
         relay = _Relay(work, self._timers)
@@ -110,10 +110,12 @@
             raise StreamBroken(str(last))
         raise last
 
-    def _may_retry(self, work: Work) -> bool:
+    def _may_retry(self, work: PendingRequest) -> bool:
         return work.attempts.may_repeat() and work.time_left(self._timers.now()) > 0
 
-    def _log_broken_stream(self, work: Work, relay: _Relay, failure: Failure) -> None:
+    def _log_broken_stream(
+        self, work: PendingRequest, relay: _Relay, failure: Failure
+    ) -> None:
         self._log.write(
             LogEvent.STREAM_RESUMED,
             request=work.request.request_id,
@@ -122,9 +124,9 @@
             may=work.attempts.may_repeat(),
         )
 
-    async def _try(self, work: Work, relay: _Relay) -> None:
+    async def _try(self, work: PendingRequest, relay: _Relay) -> None:
         """Make one attempt: prefill, decode, and relaying the response."""
-        await self._caller.admit(work.request)
+        await self._target_client.admit(work.request)
         ticket = await self._prefill_scheduler.wait(self._waiting_prompt(work, relay))
         if ticket.placement.is_prefill_only:
             prefilled = await self._prefill(work, ticket, relay)
@@ -134,12 +136,12 @@
         call = await self._prefill_and_decode(work, ticket, relay)
         await self._relay(work, call, relay)
 
-    def _waiting_prompt(self, work: Work, relay: _Relay) -> WaitingPrompt:
+    def _waiting_prompt(self, work: PendingRequest, relay: _Relay) -> WaitingPrompt:
         request, route = work.request, work.route
         is_retry = relay.attempt_count > 0
         relay.attempt_count += 1
         arrived_at = self._timers.now() if is_retry else request.arrived_at
-        size = self._sizes.worth(
+        size = self._sizes.value(
             route.name, request.prompt_tokens, request.output_tokens
         )
         if relay.has_begun:
@@ -161,7 +163,7 @@
         )
 
     def _sending(
-        self, work: Work, estimate: TargetEstimate, relay: _Relay
+        self, work: PendingRequest, estimate: TargetEstimate, relay: _Relay
     ) -> SendOptions:
         return SendOptions(
             target_id=estimate.target.target_id,
@@ -171,7 +173,7 @@
         )
 
     async def _prefill(
-        self, work: Work, ticket: DispatchedPrefill, relay: _Relay
+        self, work: PendingRequest, ticket: DispatchedPrefill, relay: _Relay
     ) -> _Prefilled:
         """Run the prefill on an engine that leaves the decode to another."""
         prefill_engine = ticket.placement.estimate
@@ -190,35 +192,41 @@
             raise
         except TimeoutError:
             failure = ConnectionBroken(f"no reading within {timeout:.2f} s")
-            self._caller.blame(work.request, prefill_engine, failure, ticket.began_at)
+            self._target_client.record_failure(
+                work.request, prefill_engine, failure, ticket.began_at
+            )
             raise failure from None
         finally:
             self._prefill_scheduler.end(ticket, is_good)
         prefill_engine.outcome(is_good=True)
         return prefilled
 
-    async def _prefill_at(self, work: Work, ticket: DispatchedPrefill) -> _Prefilled:
+    async def _prefill_at(
+        self, work: PendingRequest, ticket: DispatchedPrefill
+    ) -> _Prefilled:
         prefill_engine = ticket.placement.estimate
-        sending = SendOptions(
+        options = SendOptions(
             target_id=prefill_engine.target.target_id,
             time_left=work.time_left(self._timers.now()),
             priority=min(LOWEST_PRIORITY, work.priority),
             is_prefill=True,
             copy_from=ticket.placement.copy_from,
         )
-        call = await self._caller.begin(work.request, prefill_engine, sending)
+        call = await self._target_client.begin(work.request, prefill_engine, options)
         try:
             reply = await call.read_all()
         finally:
             call.close()
         if reply.head.status != 200:
-            self._caller.failed(work.request, call, reply.head.status)
+            self._target_client.failed(work.request, call, reply.head.status)
             raise ReplyInvalid(f"a reading's status {reply.head.status}")
         return _Prefilled(
             self._dialect.read_prefill_reply(reply).unwrap(), prefill_engine
         )
 
-    async def _decode(self, work: Work, prefilled: _Prefilled, relay: _Relay) -> Call:
+    async def _decode(
+        self, work: PendingRequest, prefilled: _Prefilled, relay: _Relay
+    ) -> TargetCall:
         """
         Run the decode on an engine that fetches the KV cache.
 
@@ -236,45 +244,45 @@
                 raise
 
     async def _try_decode(
-        self, work: Work, prefilled: _Prefilled, relay: _Relay
-    ) -> Call:
+        self, work: PendingRequest, prefilled: _Prefilled, relay: _Relay
+    ) -> TargetCall:
         prefill_engine = prefilled.prefill_engine
         if prefill_engine.is_replaced:
             # The restarted process may use the same handle for another request's KV
             # cache.
             raise RejectedUnrun("the engine that read the prompt restarted")
         now = self._timers.now()
-        decode_engine = self._placer.writer(
+        decode_engine = self._placer.choose_decode_engine(
             work.service, prefill_engine.target.data_centre, now
         )
         if decode_engine is None:
             raise NoTarget(f"no engine of {work.service} writes answers", 0.5)
         address = prefill_engine.target.address
-        sending = self._sending(work, decode_engine, relay)._replace(
+        options = self._sending(work, decode_engine, relay)._replace(
             cache_source=self._dialect.cache_source(address, prefilled.prompt)
         )
-        call = await self._run(work, decode_engine, sending)
+        call = await self._run(work, decode_engine, options)
         decode_engine.fetched(work.request.parts)
         return call
 
     async def _prefill_and_decode(
-        self, work: Work, ticket: DispatchedPrefill, relay: _Relay
-    ) -> Call:
+        self, work: PendingRequest, ticket: DispatchedPrefill, relay: _Relay
+    ) -> TargetCall:
         """Run prefill and decode on one engine."""
         estimate = ticket.placement.estimate
         is_good = False
         try:
-            sending = self._sending(work, estimate, relay)
-            sending = sending._replace(copy_from=ticket.placement.copy_from)
-            call = await self._run(work, estimate, sending)
+            options = self._sending(work, estimate, relay)
+            options = options._replace(copy_from=ticket.placement.copy_from)
+            call = await self._run(work, estimate, options)
             is_good = True
         finally:
             self._prefill_scheduler.end(ticket, is_good)
         return call
 
     async def _run(
-        self, work: Work, estimate: TargetEstimate, sending: SendOptions
-    ) -> Call:
+        self, work: PendingRequest, estimate: TargetEstimate, options: SendOptions
+    ) -> TargetCall:
         """Send the request to an engine and wait for the head of the response."""
         is_once = work.route.repeatability is Repeatability.ONCE
         is_repeat = work.attempts.count > 0
@@ -282,8 +290,8 @@
         work.attempts.sent(estimate.target.target_id)
         try:
             with attempt:
-                call = await self._caller.begin(
-                    work.request, estimate, sending, is_once
+                call = await self._target_client.begin(
+                    work.request, estimate, options, is_once
                 )
         except Failure as failure:
             work.attempts.failed(failure)
@@ -291,7 +299,7 @@
         work.attempts.ran()
         return call
 
-    def _drop_cache(self, work: Work, prefilled: _Prefilled) -> None:
+    def _drop_cache(self, work: PendingRequest, prefilled: _Prefilled) -> None:
         """Free a KV cache that no engine will fetch, unless its engine restarted."""
         prefill_engine = prefilled.prefill_engine
         if prefill_engine.is_replaced:
@@ -301,7 +309,7 @@
         )
 
         async def drop() -> None:
-            call = await self._caller.send(work.request, prefill_engine, message)
+            call = await self._target_client.send(work.request, prefill_engine, message)
             try:
                 await call.read_all()
             finally:
@@ -312,7 +320,9 @@
         # by itself after a while.
         dropping.addErrback(lambda failure: failure.trap(Failure))
 
-    async def _relay(self, work: Work, call: Call, relay: _Relay) -> None:
+    async def _relay(
+        self, work: PendingRequest, call: TargetCall, relay: _Relay
+    ) -> None:
         """Relay the response to the caller."""
         assert call.head is not None
         try:
@@ -325,16 +335,20 @@
         except Failure as failure:
             call.close()
             if not isinstance(failure, StreamBroken):
-                self._caller.blame(work.request, call.estimate, failure, call.sent_at)
+                self._target_client.record_failure(
+                    work.request, call.estimate, failure, call.sent_at
+                )
             raise
         finally:
             call.close()
-        self._caller.succeeded(work.request, call.estimate)
+        self._target_client.succeeded(work.request, call.estimate)
 
-    async def _relay_failure(self, work: Work, call: Call, relay: _Relay) -> None:
+    async def _relay_failure(
+        self, work: PendingRequest, call: TargetCall, relay: _Relay
+    ) -> None:
         reply: HttpReply = await call.read_all()
         status = reply.head.status
-        self._caller.failed(work.request, call, status)
+        self._target_client.failed(work.request, call, status)
         if relay.has_begun or (status >= 500 and work.attempts.may_repeat()):
             raise StreamBroken(f"status {status}")
         forward_reply(work.responder, reply)
@@ -347,7 +361,7 @@
     Guarantees that the caller gets each event once and in order.
     """
 
-    def __init__(self, work: Work, timers: Timers) -> None:
+    def __init__(self, work: PendingRequest, timers: Timers) -> None:
         self._work = work
         self._timers = timers
         self.last_event = work.request.last_event
@@ -355,7 +369,7 @@
         self.attempt_count = 0
         self.prefill_attempts = 0
 
-    async def run(self, call: Call) -> None:
+    async def run(self, call: TargetCall) -> None:
         """Relay events until the stream ends."""
         assert call.head is not None
         responder = self._work.responder
@@ -373,7 +387,7 @@
             responder.write(splitter.rest())
         responder.finish()
 
-    def _begin(self, call: Call) -> None:
+    def _begin(self, call: TargetCall) -> None:
         if self.has_begun:
             return
         assert call.head is not None
--- a/pimentolink/keyspace.py
+++ b/pimentolink/keyspace.py
@@ -178,7 +178,7 @@
         :raises KeyValueUnavailable: if the store does not respond.
         """
 
-    def end(self, lease: int) -> Deferred[None]:
+    def revoke(self, lease: int) -> Deferred[None]:
         """
         Revoke a lease and remove its keys.
 
--- a/pimentolink/keyspacefollower.py
+++ b/pimentolink/keyspacefollower.py
@@ -85,7 +85,7 @@
         self.is_connected = False
         # Whether the store is expected to respond. During an outage, retries are
         # skipped while this is false, since each one costs a call.
-        self.may_ask: Callable[[], bool] = lambda: True
+        self.may_call_store: Callable[[], bool] = lambda: True
         self.confirmed_at = timers.now()
 
     def start(self) -> None:
@@ -110,7 +110,7 @@
     async def _run(self) -> None:
         while True:
             try:
-                if self.may_ask() or self.is_connected:
+                if self.may_call_store() or self.is_connected:
                     await self._read_or_watch()
                 else:
                     await pause(self._timers, self._settings.backoff_first)
--- a/pimentolink/leadership.py
+++ b/pimentolink/leadership.py
@@ -202,7 +202,7 @@
             raise LeaseLost("another gateway leads")
         return self._timers.now() - requested_at <= MAX_READ_AGE
 
-    def lost(self, failure: LeaseLost) -> None:
+    def on_lease_lost(self, failure: LeaseLost) -> None:
         """Record that this gateway no longer leads."""
         self._log.write(LogEvent.LEADERSHIP_LOST, detail=str(failure))
         self._clear_leadership()
@@ -215,7 +215,7 @@
                 elif self._may_campaign():
                     await self._campaign()
             except LeaseLost as failure:
-                self.lost(failure)
+                self.on_lease_lost(failure)
             except KeyValueUnavailable:
                 # The keyspace follower logs outages. The store may not expire leases
                 # during one, so giving up here would leave the key in place, and no
@@ -238,7 +238,7 @@
         write = Write(LEADER_KEY, self._own_value, previous, lease)
         revision = await self._keyspace.write(write)
         if revision is None:
-            await self._keyspace.end(lease)
+            await self._keyspace.revoke(lease)
             return
         self.lease, self.fence, self._leader = lease, revision, self._own_value
         self._leader_revision = revision
@@ -255,7 +255,7 @@
 
     def _end_lease(self) -> None:
         if self.lease:
-            ending = self._keyspace.end(self.lease)
+            ending = self._keyspace.revoke(self.lease)
             # If the store does not answer, the lease expires by itself.
             ending.addErrback(lambda failure: failure.trap(KeyValueUnavailable))
 
--- a/pimentolink/linkclient.py
+++ b/pimentolink/linkclient.py
@@ -55,7 +55,7 @@
 
     def _answer_challenge(self, nonce: bytes) -> None:
         key = self._client.shared_key
-        hello = self._client.listener.greeting()
+        hello = self._client.listener.make_hello()
         hello.nonce = self._nonce
         hello.proof = compute_proof(key, "entry", nonce, self._nonce)
         self._expected_proof = compute_proof(key, "sidecar", nonce, self._nonce)
--- a/pimentolink/links.py
+++ b/pimentolink/links.py
@@ -38,7 +38,7 @@
 class EntryLinkListener(Protocol):
     """Receives the events of an entry's links."""
 
-    def greeting(self) -> link_pb2.EntryHello:
+    def make_hello(self) -> link_pb2.EntryHello:
         """Create the hello message; nonce and proof are added by the link."""
 
     def link_up(self, link: EntryLink, hello: link_pb2.SidecarHello) -> None:
@@ -64,7 +64,7 @@
 class SidecarLinkListener(Protocol):
     """Receives the events of a sidecar's links."""
 
-    def greeting(self) -> link_pb2.SidecarHello:
+    def make_hello(self) -> link_pb2.SidecarHello:
         """Create the hello message; the proof is added by the link."""
 
     def take_due_load(self, link: SidecarLink) -> link_pb2.Load | None:
--- a/pimentolink/linkserver.py
+++ b/pimentolink/linkserver.py
@@ -68,7 +68,7 @@
             self._server.refused(self)
             self.abort()
             return
-        reply = self._server.listener.greeting()
+        reply = self._server.listener.make_hello()
         reply.proof = compute_proof(key, "sidecar", self._nonce, hello.nonce)
         self.write(link_pb2.SidecarMessage(hello=reply))
         self.accept_peer()
--- a/pimentolink/membership.py
+++ b/pimentolink/membership.py
@@ -48,7 +48,7 @@
     outage of the store is removed only after it had time to register again.
 
     :ivar gateways_by_name: entries of all gateways in the store.
-    :ivar is_known: whether all keys were read at least once.
+    :ivar is_loaded: whether all keys were read at least once.
     :ivar on_changed: called after changes were applied.
     :ivar on_first_snapshot: called when all keys were read for the first time.
     :ivar on_leader: called with changes of the leader key.
@@ -93,7 +93,7 @@
         # Digests of invalid entries, so that each is logged only once.
         self._unreadable_by_id: dict[str, int] = {}
         self.gateways_by_name: dict[str, GatewayEntry] = {}
-        self.is_known = False
+        self.is_loaded = False
         self.on_changed: Callable[[], None] = lambda: None
         self.on_first_snapshot: Callable[[], None] = lambda: None
         self.on_leader: Callable[[Change], None] = lambda change: None
@@ -135,7 +135,7 @@
         self._epoch = epoch
         self._schedule_gateway_cleanup()
         if self._documents.configuration_key in keys:
-            self._configuration_age.proven(requested_at, epoch)
+            self._configuration_age.record_verification(requested_at, epoch)
         prefix = self._documents.target_prefix
         listed = {key.removeprefix(prefix) for key in keys if key.startswith(prefix)}
         for target_id in list(self._fleet.targets_by_id):
@@ -148,8 +148,8 @@
                 del self.gateways_by_name[name]
         if LEADER_KEY not in keys:
             self.on_leader(Change(LEADER_KEY, None, 0))
-        is_first = not self.is_known
-        self.is_known = True
+        is_first = not self.is_loaded
+        self.is_loaded = True
         if is_first:
             self.on_first_snapshot()
 
@@ -158,9 +158,9 @@
         if isinstance(found, Err):
             detail = str(found.err_value)
             self._log.write(LogEvent.CONFIGURATION_UNREADABLE, detail=detail)
-            self._configuration_age.read(is_readable=False)
+            self._configuration_age.set_readable(is_readable=False)
             return
-        self._configuration_age.read(is_readable=True)
+        self._configuration_age.set_readable(is_readable=True)
         table = found.ok_value
         previous = self._routing_tables.table
         if not self._routing_tables.offer(table):
@@ -199,7 +199,7 @@
             return
         self._fleet.put(target)
         if target.is_leaving:
-            self._ended_targets.leaving(target, self._epoch)
+            self._ended_targets.mark_leaving(target, self._epoch)
         if target.born > previous_born:
             self._log_life_change(
                 LogEvent.TARGET_RESTARTED, target, previous_born, change
@@ -269,7 +269,7 @@
             return
         # Requests that still refer to the estimate must not choose the target again.
         estimate.missing_since = self._timers.now()
-        self._ended_targets.ended(estimate.target, self._epoch, self._timers.now())
+        self._ended_targets.mark_ended(estimate.target, self._epoch, self._timers.now())
         self._log.write(LogEvent.TARGET_GONE, target=target_id, reason=reason)
         self.on_target_removed(target_id)
         self.on_target_ended(estimate.target, "no longer listed")
--- a/pimentolink/memorykeyspace.py
+++ b/pimentolink/memorykeyspace.py
@@ -137,7 +137,7 @@
         self._restart_expiry(lease)
         return succeed(None)
 
-    def end(self, lease: int) -> Deferred[None]:
+    def revoke(self, lease: int) -> Deferred[None]:
         """Revoke a lease and remove its keys."""
         if (outage := self._fail_if_down()) is not None:
             return outage
--- a/pimentolink/metering.py
+++ b/pimentolink/metering.py
@@ -60,7 +60,7 @@
         self.reporter.stop()
         self.publisher.stop()
 
-    def begun(self, organisation: str, started_at: float) -> None:
+    def request_started(self, organisation: str, started_at: float) -> None:
         """Count a request; see :meth:`UsagePublisher.request_started`."""
         self.publisher.request_started(organisation, started_at)
 
--- a/pimentolink/peers.py
+++ b/pimentolink/peers.py
@@ -329,7 +329,9 @@
         if transport is None:
             self._metrics.count("peer_messages", "not_sent")
             return
-        self._egress_queue.sent(len(addresses) * (len(datagram) + IP_UDP_HEADER_SIZE))
+        self._egress_queue.record_sent(
+            len(addresses) * (len(datagram) + IP_UDP_HEADER_SIZE)
+        )
         for address in addresses:
             try:
                 transport.write(datagram, address)
@@ -355,5 +357,5 @@
             elif isinstance(message, UsageMessage):
                 self.on_usage(decoded.life, message)
             else:
-                self._updates.take(decoded.life, message, self._timers.now())
+                self._updates.apply(decoded.life, message, self._timers.now())
         self._on_datagram()
--- a/pimentolink/peerupdates.py
+++ b/pimentolink/peerupdates.py
@@ -32,7 +32,7 @@
         self._life_by_gateway: dict[str, str] = {}
         self._prefills_by_life: dict[str, dict[int, TargetEstimate]] = {}
 
-    def take(self, life: str, message: LoadMessage, now: float) -> None:
+    def apply(self, life: str, message: LoadMessage, now: float) -> None:
         """
         Apply a message of another gateway.
 
--- a/pimentolink/placement.py
+++ b/pimentolink/placement.py
@@ -59,7 +59,8 @@
     :ivar cached_tokens: tokens that are probably in the engine's prefix cache.
     :ivar done_at: predicted end of the prefill as observed by this gateway.
     :ivar engine_done_at: predicted end without the delay added by this gateway.
-    :ivar way: predicted seconds until the engine has received the prompt.
+    :ivar transmission_delay: predicted seconds until the engine has received the
+        prompt.
     :ivar handover_time: predicted seconds from the end of the prefill until the decode
         engine has received the prompt.
     :ivar copy_from: address of an engine that has more of the prompt cached; empty if
@@ -76,7 +77,7 @@
     copied_tokens: int
     is_prefill_only: bool
     engine_done_at: float
-    way: float
+    transmission_delay: float
     handover_time: float
 
     @property
@@ -89,12 +90,12 @@
     """
     Values of a prompt that are the same for all candidate engines.
 
-    :ivar way: seconds until an engine has received the prompt.
+    :ivar transmission_delay: seconds until an engine has received the prompt.
     :ivar source: engine from which the longest prefix can be fetched.
     :ivar fetchable: tokens that can be fetched from it.
     """
 
-    way: float
+    transmission_delay: float
     source: TargetEstimate
     fetchable: int
 
@@ -129,7 +130,7 @@
         """Create a scale without any observed requests."""
         self._mean_by_route: dict[str, float] = {}
 
-    def worth(self, route: str, prompt_tokens: int, output_tokens: int) -> float:
+    def value(self, route: str, prompt_tokens: int, output_tokens: int) -> float:
         """
         Update the route's mean size with a request and return the request's value.
 
@@ -176,7 +177,7 @@
         self._egress_queue = egress_queue
         self._gateway_delay = gateway_delay
 
-    def best(self, prompt: WaitingPrompt, now: float) -> Placement | None:
+    def choose_placement(self, prompt: WaitingPrompt, now: float) -> Placement | None:
         """
         Choose the engine with the lowest cost for a prompt.
 
@@ -194,7 +195,7 @@
             engines, key=lambda item: item.fetchable.cached_tokens(prompt.parts)
         )
         transfer = _TransferPlan(
-            way=self._egress_queue.delay(prompt.body_bytes),
+            transmission_delay=self._egress_queue.delay(prompt.body_bytes),
             source=source,
             fetchable=min(max_reusable, source.fetchable.cached_tokens(prompt.parts)),
         )
@@ -223,11 +224,11 @@
         work = engine.prefill_time(tokens)
         if copied:
             work += engine.copy_time(copied)
-        ends_in = max(transfer.way, engine.backlog(now)) + work
+        ends_in = max(transfer.transmission_delay, engine.backlog(now)) + work
         cost = ends_in + settings.duplicate_cost * work + engine.failure_share
         role = engine.target.role
         if role is EngineRole.PREFILL:
-            cost += transfer.way
+            cost += transfer.transmission_delay
         elif role is EngineRole.DECODE:
             cost += settings.interference * engine.load() * work
         if engine.target.data_centre != self._data_centre:
@@ -247,8 +248,8 @@
             copy_from=transfer.source.target.address if candidate.copied else "",
             copied_tokens=candidate.copied,
             is_prefill_only=is_prefill_engine,
-            way=transfer.way,
-            handover_time=transfer.way if is_prefill_engine else 0.0,
+            transmission_delay=transfer.transmission_delay,
+            handover_time=transfer.transmission_delay if is_prefill_engine else 0.0,
         )
 
     def engines(self, service: str, now: float) -> list[TargetEstimate]:
@@ -268,7 +269,7 @@
         work = queued_work + share * self._fleet.prefill_work_at_peers(service)
         return work / max(1.0, self._fleet.usable_count(service, now))
 
-    def writer(
+    def choose_decode_engine(
         self, service: str, prefill_data_centre: str, now: float
     ) -> TargetEstimate | None:
         """
--- a/pimentolink/plaincalls.py
+++ b/pimentolink/plaincalls.py
@@ -15,12 +15,12 @@
     RetryBudgetSpent,
 )
 from pimentolink.fleet import Fleet
-from pimentolink.forwarder import Work, forward_reply
+from pimentolink.forwarder import PendingRequest, forward_reply
 from pimentolink.gatewaysettings import PlacementSettings
 from pimentolink.httptypes import HttpReply
 from pimentolink.retrylimiter import RetryLimiter
 from pimentolink.routes import Repeatability
-from pimentolink.targetclient import Caller
+from pimentolink.targetclient import TargetClient
 from pimentolink.targetestimate import TargetEstimate
 from pimentolink.timers import Timers
 
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        caller: Caller,
+        target_client: TargetClient,
         dialect: Dialect,
         fleet: Fleet,
         retry_limiter: RetryLimiter,
@@ -52,7 +52,7 @@
         """
         Create a handler.
 
-        :param caller: sends requests to targets.
+        :param target_client: sends requests to targets.
         :param dialect: parses responses.
         :param fleet: the targets.
         :param retry_limiter: limits repeated attempts.
@@ -60,7 +60,7 @@
         :param data_centre: the data centre of this gateway.
         :param timers: the timer service.
         """
-        self._caller = caller
+        self._target_client = target_client
         self._dialect = dialect
         self._fleet = fleet
         self._retry_limiter = retry_limiter
@@ -68,7 +68,7 @@
         self._data_centre = data_centre
         self._timers = timers
 
-    async def serve(self, work: Work) -> None:
+    async def serve(self, work: PendingRequest) -> None:
         """Serve a request."""
         self._retry_limiter.earn(work)
         last: Failure | HttpReply | None = None
@@ -92,7 +92,7 @@
             return
         raise last or NoTarget(f"no target of {work.service} takes work", 0.5)
 
-    def _choose(self, work: Work) -> TargetEstimate | None:
+    def _choose(self, work: PendingRequest) -> TargetEstimate | None:
         now = self._timers.now()
         if work.time_left(now) <= 0:
             return None
@@ -111,12 +111,12 @@
             cost += self._settings.remote_cost
         return cost
 
-    def _is_repeatable(self, work: Work, reply: HttpReply) -> bool:
+    def _is_repeatable(self, work: PendingRequest, reply: HttpReply) -> bool:
         return reply.head.status >= 500 and work.attempts.may_repeat()
 
     async def _attempt(
         self,
-        work: Work,
+        work: PendingRequest,
         estimate: TargetEstimate,
         attempt: AbstractContextManager[None],
     ) -> HttpReply | Failure:
@@ -143,29 +143,33 @@
         work.run_began(began_at)
         return reply
 
-    async def _exchange(self, work: Work, estimate: TargetEstimate) -> HttpReply:
+    async def _exchange(
+        self, work: PendingRequest, estimate: TargetEstimate
+    ) -> HttpReply:
         request = work.request
         time_left = work.time_left(self._timers.now())
-        sending = SendOptions(estimate.target.target_id, time_left)
+        options = SendOptions(estimate.target.target_id, time_left)
         is_once = work.route.repeatability is Repeatability.ONCE
-        call = await self._caller.begin(request, estimate, sending, is_once)
+        call = await self._target_client.begin(request, estimate, options, is_once)
         try:
             reply = await call.read_all()
         except Failure as failure:
             call.close()
-            self._caller.blame(request, estimate, failure, call.sent_at)
+            self._target_client.record_failure(request, estimate, failure, call.sent_at)
             raise
         finally:
             call.close()
         if self._dialect.verdict(reply.head) is Verdict.SUCCESS:
             if not self._dialect.is_signed(reply.head):
                 raise ReplyInvalid("a success that the target does not vouch for")
-            self._caller.succeeded(request, estimate)
+            self._target_client.succeeded(request, estimate)
         elif reply.head.status >= 500:
-            self._caller.failed(request, call, reply.head.status)
+            self._target_client.failed(request, call, reply.head.status)
         return reply
 
-    async def _shielded(self, work: Work, estimate: TargetEstimate) -> HttpReply:
+    async def _shielded(
+        self, work: PendingRequest, estimate: TargetEstimate
+    ) -> HttpReply:
         """
         Make the exchange, and let it finish if the caller disconnects.
 
--- a/pimentolink/platform/dialect.py
+++ b/pimentolink/platform/dialect.py
@@ -102,7 +102,7 @@
     if not request_id:
         return Err(InvalidRequest(f"no {REQUEST_ID.decode()}"))
     try:
-        patience = _parse_caller_timeout(request.header(DEADLINE.lower()))
+        caller_timeout = _parse_caller_timeout(request.header(DEADLINE.lower()))
         parts = _parse_parts(request.header(PROMPT_PARTS.lower()))
         prompt_tokens, output_tokens = _parse_token_counts(
             request.header(TOKEN_COUNTS.lower())
@@ -118,7 +118,7 @@
             host=host,
             path=request.path.decode("latin-1"),
             arrived_at=now,
-            patience=patience,
+            caller_timeout=caller_timeout,
             parts=parts,
             prompt_tokens=prompt_tokens or sum(part.tokens for part in parts),
             output_tokens=output_tokens,
@@ -134,10 +134,10 @@
     text = value.decode("latin-1").strip()
     if _DECIMAL_PATTERN.fullmatch(text) is None:
         raise ValueError(f"{text[:40]!r} is no time in milliseconds")
-    patience = float(text) / 1000
-    if patience >= MAX_CALLER_TIMEOUT:
+    caller_timeout = float(text) / 1000
+    if caller_timeout >= MAX_CALLER_TIMEOUT:
         raise ValueError(f"{text[:40]!r} is over {MAX_CALLER_TIMEOUT:g} s")
-    return patience
+    return caller_timeout
 
 
 def _parse_token_count(text: str) -> int:
@@ -224,7 +224,9 @@
         """Parse the headers of a caller's request."""
         return read_request(request, now)
 
-    def sending(self, request: CallerRequest, sending: SendOptions) -> HttpRequest:
+    def target_request(
+        self, request: CallerRequest, options: SendOptions
+    ) -> HttpRequest:
         """Build the request that is sent to a target."""
         forwarded_headers = [
             item
@@ -232,25 +234,25 @@
             if item[0].lower() not in SYSTEM_HEADERS
         ]
         system_headers: list[tuple[bytes, bytes]] = [
-            (EXPECT_INSTANCE, sending.target_id.encode())
+            (EXPECT_INSTANCE, options.target_id.encode())
         ]
         if request.organisation:
             system_headers.append((ORGANISATION, request.organisation.encode()))
-        if sending.time_left is not None:
+        if options.time_left is not None:
             milliseconds = max(
-                1, int((sending.time_left - RETURN_TRANSMISSION_TIME) * 1000)
+                1, int((options.time_left - RETURN_TRANSMISSION_TIME) * 1000)
             )
             system_headers.append((DEADLINE, str(milliseconds).encode()))
-        if sending.priority is not None:
-            system_headers.append((PRIORITY, str(sending.priority).encode()))
-        if sending.is_prefill:
+        if options.priority is not None:
+            system_headers.append((PRIORITY, str(options.priority).encode()))
+        if options.is_prefill:
             system_headers.append((STAGE, b"prefill"))
-        if sending.cache_source:
-            system_headers.append((KV_SOURCE, sending.cache_source.encode()))
-        if sending.copy_from:
-            system_headers.append((KV_FETCH, sending.copy_from.encode()))
-        if sending.last_event is not None:
-            system_headers.append((LAST_EVENT, sending.last_event))
+        if options.cache_source:
+            system_headers.append((KV_SOURCE, options.cache_source.encode()))
+        if options.copy_from:
+            system_headers.append((KV_FETCH, options.copy_from.encode()))
+        if options.last_event is not None:
+            system_headers.append((LAST_EVENT, options.last_event))
         return request.http._replace(headers=(*forwarded_headers, *system_headers))
 
     def is_reply_to(self, request: CallerRequest, head: ReplyHead) -> bool:
@@ -331,7 +333,7 @@
         role = _ROLES_BY_PHASE.get(report.phase, EngineRole.NONE)
         return Ok(EngineReport(role, report.busy, report.sequence, report.born))
 
-    def change_role(
+    def role_change_request(
         self,
         estimate: TargetEstimate,
         report: EngineReport,
--- a/pimentolink/platform/store.py
+++ b/pimentolink/platform/store.py
@@ -140,7 +140,7 @@
         """Renew a lease."""
         return Deferred.fromCoroutine(self._renew(lease))
 
-    def end(self, lease: int) -> Deferred[None]:
+    def revoke(self, lease: int) -> Deferred[None]:
         """Revoke a lease."""
         return Deferred.fromCoroutine(self._end(lease))
 
--- a/pimentolink/porcelain.py
+++ b/pimentolink/porcelain.py
@@ -22,7 +22,7 @@
     differences,
     read_documents,
 )
-from pimentolink.crashhistory import KEEP
+from pimentolink.crashhistory import CRASH_TTL
 from pimentolink.deploymentstatus import DeploymentStatus, StatusReader
 from pimentolink.errors import (
     ConfigurationConflict,
@@ -218,7 +218,7 @@
     for item in (await keyspace.read_all(SUSPECT_PREFIX)).items:
         parsed = read_json(item.value, SuspectDocument)
         if not isinstance(parsed, Err):
-            suspects.take(parsed.ok_value)
+            suspects.add(parsed.ok_value)
     crashes = suspects.crashes_by_fingerprint().get(fingerprint, [])
     if not crashes:
         return Err(DocumentInvalid(f"nothing is held against {fingerprint}"))
@@ -226,7 +226,7 @@
     clearing = await keyspace.read(key)
     expected_revision = clearing.revision if clearing is not None else 0
     document = SuspectDocument([SuspectCleared(fingerprint, crashes[:MAX_CRASHES])])
-    lease = await keyspace.grant(KEEP)
+    lease = await keyspace.grant(CRASH_TTL)
     write = Write(key, msgspec.json.encode(document), expected_revision, lease)
     if await keyspace.write(write) is None:
         return Err(WriteConflict("another operator released it at the same time"))
--- a/pimentolink/prefillcost.py
+++ b/pimentolink/prefillcost.py
@@ -141,7 +141,7 @@
             return self._prefill_role_cost.seconds(tokens) / share
         return tokens / (self._first_rate * share)
 
-    def usual(self, is_decode_engine: bool) -> Slowness:
+    def typical_slowness(self, is_decode_engine: bool) -> Slowness:
         """Return the ratio of measured to predicted time over all engines of a role."""
         return self._decode_baseline if is_decode_engine else self._prefill_baseline
 
--- a/pimentolink/prefillqueue.py
+++ b/pimentolink/prefillqueue.py
@@ -99,7 +99,7 @@
 
         :returns: the reason for the rejection, or ``None`` if the prompt was queued.
         """
-        placement = self._placer.best(prompt, now)
+        placement = self._placer.choose_placement(prompt, now)
         if placement is None:
             return NoTarget(f"no engine of {prompt.service} takes work", 1.0)
         entry = _QueueEntry(prompt, placement, (now, self._dispatch_count))
@@ -210,7 +210,7 @@
         prediction_key = (now, self._dispatch_count)
         if entry.prediction_key == prediction_key:
             return True
-        placement = self._placer.best(entry.prompt, now)
+        placement = self._placer.choose_placement(entry.prompt, now)
         if placement is not None:
             entry.predict(placement, prediction_key)
         return placement is not None
@@ -239,7 +239,7 @@
         for request_id in list(self._entries_by_id)[:MAX_EXPIRY_CHECKS]:
             self._entries_by_id.move_to_end(request_id)
             entry = self._entries_by_id[request_id]
-            placement = self._placer.best(entry.prompt, now)
+            placement = self._placer.choose_placement(entry.prompt, now)
             if placement is None:
                 unservable |= self._request_ids_of(entry.prompt.service)
             elif placement.done_at > entry.prompt.due_at:
--- a/pimentolink/prefillscheduler.py
+++ b/pimentolink/prefillscheduler.py
@@ -109,7 +109,7 @@
         self._dispatch_ready(now)
         return waiter
 
-    def look(self) -> None:
+    def dispatch_waiting(self) -> None:
         """Dispatch the prompts that engines have room for."""
         if not self._waiters_by_id:
             return
@@ -126,7 +126,7 @@
     def _on_poll_timer(self) -> None:
         self._timer = None
         self._refuse_unservable()
-        self.look()
+        self.dispatch_waiting()
 
     def _refuse_unservable(self) -> None:
         for prompt in self._queue.pop_unservable(self._timers.now()):
@@ -147,7 +147,7 @@
             prompt.parts,
             now,
             placement.copied_tokens,
-            placement.way,
+            placement.transmission_delay,
         )
         self._publisher.broadcast(
             PrefillStarted(
@@ -156,7 +156,10 @@
                 placement.tokens,
                 encode_parts(prompt.parts),
                 placement.copied_tokens,
-                min(MAX_TRANSMISSION_DELAY_MS, round(1000 * placement.way)),
+                min(
+                    MAX_TRANSMISSION_DELAY_MS,
+                    round(1000 * placement.transmission_delay),
+                ),
             )
         )
         self._log.write(
@@ -169,7 +172,7 @@
             copied=placement.copied_tokens,
             waited=round(now - prompt.arrived_at, 3),
             predicted=round(placement.done_at - now, 3),
-            way=round(placement.way, 4),
+            way=round(placement.transmission_delay, 4),
             waiting=len(self._queue),
             list_age=round(self.estimate_age(), 3),
         )
@@ -215,7 +218,7 @@
             busy=None if busy is None else round(busy, 4),
             left=round(estimate.backlog(now), 4),
         )
-        self.look()
+        self.dispatch_waiting()
 
     def _log_refusal(self, prompt: WaitingPrompt, failure: Failure) -> None:
         self._log.write(
--- a/pimentolink/prefixcache.py
+++ b/pimentolink/prefixcache.py
@@ -66,7 +66,7 @@
         self._tokens_by_part: OrderedDict[int, int] = OrderedDict()
         self._tokens = 0
 
-    def note(self, parts: Iterable[PromptPart]) -> None:
+    def record_use(self, parts: Iterable[PromptPart]) -> None:
         """Mark parts as most recently used, evicting others beyond the capacity."""
         for part in parts:
             self._tokens += part.tokens - self._tokens_by_part.pop(part.part_id, 0)
@@ -92,7 +92,7 @@
             cached += part.tokens
         return cached
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Empty the cache, as after a restart of the engine."""
         if self._index is not None:
             for part_id in self._tokens_by_part:
--- a/pimentolink/prefixes.py
+++ b/pimentolink/prefixes.py
@@ -26,7 +26,7 @@
         self._max_prefixes = max_prefixes
         self._targets_by_prefix: OrderedDict[int, set[str]] = OrderedDict()
 
-    def note(self, request: Request, target_id: str) -> None:
+    def record_prefill(self, request: Request, target_id: str) -> None:
         """Record that a target has prefilled a request's prompt."""
         for prefix in request.prefixes:
             targets = self._targets_by_prefix.setdefault(prefix, set())
--- a/pimentolink/quarantine.py
+++ b/pimentolink/quarantine.py
@@ -56,7 +56,7 @@
             random,
             log,
         )
-        self.store.on_message = self.reports.take
+        self.store.on_message = self.reports.receive
         self.reports.on_crash_recorded = self.store.crash_recorded
         self.reports.on_cleared = self.store.cleared
-        peers.on_suspects = self.reports.take
+        peers.on_suspects = self.reports.receive
--- a/pimentolink/registration.py
+++ b/pimentolink/registration.py
@@ -53,7 +53,7 @@
     :ivar on_renewed: called after the lease was granted or renewed, with the time at
         which the request was sent, in seconds of
         :meth:`~pimentolink.timers.Timers.boot_time`.
-    :ivar on_lost: called when the lease has ended.
+    :ivar on_lease_lost: called when the lease has ended.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         self.lease = 0
         self.on_store_recovered: Callable[[], None] = lambda: None
         self.on_renewed: Callable[[float], None] = lambda requested_at: None
-        self.on_lost: Callable[[], None] = lambda: None
+        self.on_lease_lost: Callable[[], None] = lambda: None
 
     def start(self) -> None:
         """Write the entry and keep renewing its lease."""
@@ -99,11 +99,11 @@
         if self._loop is not None:
             self._loop.cancel()
         if self.lease:
-            revocation = self._keyspace.end(self.lease)
+            revocation = self._keyspace.revoke(self.lease)
             # If the store does not respond, the lease expires by itself.
             revocation.addErrback(lambda failure: failure.trap(KeyValueUnavailable))
 
-    def check(self) -> None:
+    def renew_now(self) -> None:
         """Renew now, since the lease may have ended while the process was frozen."""
         if self._loop is not None:
             self._loop.cancel()
@@ -122,7 +122,7 @@
                     LogEvent.LEASE_LOST, lease=self.lease, detail=str(failure)
                 )
                 self.lease = 0
-                self.on_lost()
+                self.on_lease_lost()
                 await pause(self._timers, self._backoff.next())
             except KeyValueUnavailable as failure:
                 self._record_outage(failure)
--- a/pimentolink/retrylimiter.py
+++ b/pimentolink/retrylimiter.py
@@ -5,7 +5,7 @@
 from contextlib import AbstractContextManager, nullcontext
 
 from pimentolink.errors import DEFAULT_RETRY_AFTER, RetryBudgetSpent
-from pimentolink.forwarder import Work
+from pimentolink.forwarder import PendingRequest
 from pimentolink.logs import Log, LogEvent
 from pimentolink.metrics import Metrics
 from pimentolink.sharedbudget import SharedBudgets
@@ -26,11 +26,13 @@
         self._log = log
         self._metrics = metrics
 
-    def earn(self, work: Work) -> None:
+    def earn(self, work: PendingRequest) -> None:
         """Record a request, which adds credit to the retry budget of its service."""
         self._budgets.earn(work.service)
 
-    def spend(self, work: Work, is_repeat: bool) -> AbstractContextManager[None]:
+    def spend(
+        self, work: PendingRequest, is_repeat: bool
+    ) -> AbstractContextManager[None]:
         """
         Request permission for one attempt; first attempts do not use the budget.
 
--- a/pimentolink/rolebalance.py
+++ b/pimentolink/rolebalance.py
@@ -194,13 +194,13 @@
             )
         return None
 
-    def begun(self, service: str, now: float) -> None:
+    def record_order(self, service: str, now: float) -> None:
         """Record that a change was ordered, and subtract its cost from the regret."""
         state = self._services_by_name.setdefault(service, _ServiceState())
         state.changed_at = now
         state.regret -= self._regret_covered(service, state, state.regret)
 
-    def accepted(self, service: str, change: RoleChange) -> None:
+    def record_accepted(self, service: str, change: RoleChange) -> None:
         """Record that an engine accepted an order and is changing its role."""
         state = self._services_by_name.setdefault(service, _ServiceState())
         state.changing_by_id[change.estimate.target.target_id] = change.role
--- a/pimentolink/rolecontroller.py
+++ b/pimentolink/rolecontroller.py
@@ -113,9 +113,9 @@
         for change, report in zip(allowed, reports, strict=True):
             if report is None or not _is_needed(change, report):
                 # The target list does not show a role change or a restart yet.
-                self._balancer.begun(service, self._timers.now())
+                self._balancer.record_order(service, self._timers.now())
                 continue
-            message = self._dialect.change_role(
+            message = self._dialect.role_change_request(
                 change.estimate,
                 report,
                 change.role,
@@ -131,7 +131,7 @@
         change = order.change
         if not self._may_order(change):
             return
-        self._balancer.begun(service, self._timers.now())
+        self._balancer.record_order(service, self._timers.now())
         self._log_order(
             LogEvent.ORDER_STARTED, change, f"orders accepted before: {order.after}"
         )
@@ -176,7 +176,7 @@
         seconds = switch_time + DRAIN_TIME
         estimate = change.estimate
         estimate.changing_until = self._timers.now() + seconds
-        self._balancer.accepted(service, change)
+        self._balancer.record_accepted(service, change)
         target = estimate.target
         self._publisher.broadcast(RoleChanging(target.target_id, seconds, target.born))
         self._log_order(LogEvent.ORDER_DONE, change)
--- a/pimentolink/sidecar.py
+++ b/pimentolink/sidecar.py
@@ -155,7 +155,7 @@
             await pause(self._timers, CLOSE_POLL_INTERVAL)
         self.log.write(LogEvent.STOPPED)
 
-    def greeting(self) -> link_pb2.SidecarHello:
+    def make_hello(self) -> link_pb2.SidecarHello:
         """Build the message that opens a link."""
         return link_pb2.SidecarHello(
             target_id=self._settings.target,
--- a/pimentolink/suspectstore.py
+++ b/pimentolink/suspectstore.py
@@ -10,7 +10,7 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from pimentolink.crashhistory import KEEP, MIN_SUSPECT_CRASHES
+from pimentolink.crashhistory import CRASH_TTL, MIN_SUSPECT_CRASHES
 from pimentolink.errors import KeyValueUnavailable, LeaseLost
 from pimentolink.jsondocument import read_entry
 from pimentolink.keyspace import Change, Keyspace, Write
@@ -56,7 +56,7 @@
         self._crashes: set[tuple[str, int]] = set()
         self._cleared: set[tuple[str, int]] = set()
 
-    def take(self, document: SuspectDocument) -> None:
+    def add(self, document: SuspectDocument) -> None:
         """Merge the messages of one document."""
         for message in document.news:
             if isinstance(message, SuspectCleared):
@@ -216,10 +216,10 @@
         return [_TimedMessage(now, message) for message in (*self._unwritten, *crashes)]
 
     async def _write_document(self, pending: list[_TimedMessage]) -> None:
-        begin = self._timers.now() - KEEP
+        begin = self._timers.now() - CRASH_TTL
         before = [kept for kept in self._written if kept.at >= begin]
         kept = [*before, *pending][-MAX_DOCUMENT_MESSAGES:]
-        lease = await self._keyspace.grant(KEEP)
+        lease = await self._keyspace.grant(CRASH_TTL)
         document = SuspectDocument([item.message for item in kept])
         write = Write(self._key, msgspec.json.encode(document), self._revision, lease)
         revision = await self._keyspace.write(write)
--- a/pimentolink/targetclient.py
+++ b/pimentolink/targetclient.py
@@ -46,11 +46,11 @@
     def connection_lost(self, estimate: TargetEstimate) -> None:
         """Handle a connection that broke, or carried an invalid response."""
 
-    def answered(self, request: CallerRequest) -> None:
+    def request_succeeded(self, request: CallerRequest) -> None:
         """Handle a request that got its complete response."""
 
 
-class Call:
+class TargetCall:
     """One exchange with a target, up to the last byte of the response."""
 
     def __init__(
@@ -117,7 +117,7 @@
             self._on_cut_off()
 
 
-class Caller:
+class TargetClient:
     """Sends calls over pooled connections to targets."""
 
     def __init__(
@@ -172,7 +172,9 @@
         pool.max_connections = self.max_connections(target.service)
         return pool
 
-    async def alone(self, estimate: TargetEstimate, message: HttpRequest) -> HttpReply:
+    async def call_on_new_connection(
+        self, estimate: TargetEstimate, message: HttpRequest
+    ) -> HttpReply:
         """
         Make one call on a separate connection, which is closed afterwards.
 
@@ -219,9 +221,9 @@
         self,
         request: CallerRequest,
         estimate: TargetEstimate,
-        sending: SendOptions,
+        options: SendOptions,
         is_once: bool = False,
-    ) -> Call:
+    ) -> TargetCall:
         """
         Send a request and wait for the head of the response.
 
@@ -230,13 +232,13 @@
         :raises Failure: if there is no response; its ``ran`` tells whether the request
             may have run.
         """
-        if sending.time_left is not None and sending.time_left <= 0:
+        if options.time_left is not None and options.time_left <= 0:
             # The event loop runs late, and so does the timer that ends the request.
             raise CannotBeInTime(
                 "its time was over before it was sent", DEFAULT_RETRY_AFTER
             )
         await self._watcher.admit(request)
-        message = self._dialect.sending(request, sending)
+        message = self._dialect.target_request(request, options)
         return await self.send(request, estimate, message, is_once)
 
     async def send(
@@ -245,7 +247,7 @@
         estimate: TargetEstimate,
         message: HttpRequest,
         is_once: bool = False,
-    ) -> Call:
+    ) -> TargetCall:
         """Send a request that the dialect encoded; see :meth:`begin`."""
         pool = self.pool(estimate)
         estimate.in_flight += 1
@@ -255,9 +257,9 @@
         except BaseException as error:
             estimate.in_flight -= 1
             if isinstance(error, Failure):
-                self.blame(request, estimate, error)
+                self.record_failure(request, estimate, error)
             raise
-        call = Call(
+        call = TargetCall(
             estimate,
             pool,
             connection,
@@ -272,11 +274,11 @@
         except BaseException as error:
             call.close()
             if isinstance(error, Failure):
-                self.blame(request, estimate, error, call.sent_at)
+                self.record_failure(request, estimate, error, call.sent_at)
             raise
         return call
 
-    async def _check(self, call: Call, head: ReplyHead) -> None:
+    async def _check(self, call: TargetCall, head: ReplyHead) -> None:
         """Raise a failure if the head says that the target did not run the request."""
         verdict = self._dialect.verdict(head)
         if verdict is Verdict.NOT_RUN:
@@ -289,9 +291,9 @@
     def succeeded(self, request: CallerRequest, estimate: TargetEstimate) -> None:
         """Record a complete response for its target and its request."""
         estimate.outcome(is_good=True)
-        self._watcher.answered(request)
+        self._watcher.request_succeeded(request)
 
-    def blame(
+    def record_failure(
         self,
         request: CallerRequest,
         estimate: TargetEstimate,
@@ -329,8 +331,8 @@
         if counts_for_ejection and self._fleet.failed(estimate, now):
             self._log.write(LogEvent.TARGET_EJECTED, target=target.target_id)
 
-    def failed(self, request: CallerRequest, call: Call, status: int) -> None:
+    def failed(self, request: CallerRequest, call: TargetCall, status: int) -> None:
         """Record a failure that the target reported by the status of its response."""
-        self.blame(
+        self.record_failure(
             request, call.estimate, TargetFailed(f"status {status}"), call.sent_at
         )
--- a/pimentolink/targetestimate.py
+++ b/pimentolink/targetestimate.py
@@ -196,7 +196,9 @@
         :returns: seconds.
         """
         is_decode_engine = self.is_decode_engine
-        slowness = self.slowness.factor / self._costs.usual(is_decode_engine).factor
+        slowness = (
+            self.slowness.factor / self._costs.typical_slowness(is_decode_engine).factor
+        )
         return slowness * self._costs.seconds(tokens, is_decode_engine)
 
     def copy_time(self, tokens: int) -> float:
@@ -248,19 +250,21 @@
         parts: Iterable[PromptPart],
         now: float,
         copied: int = 0,
-        way: float = 0.0,
+        transmission_delay: float = 0.0,
     ) -> None:
         """
         Add a prefill that this or another gateway sent there.
 
         :param copied: tokens whose KV cache it first fetches from another engine.
-        :param way: seconds until the prompt reaches the engine.
+        :param transmission_delay: seconds until the prompt reaches the engine.
         """
-        expected = way + self.backlog(now) + self.prefill_time(tokens)
+        expected = transmission_delay + self.backlog(now) + self.prefill_time(tokens)
         expires_at = now + 3 * expected + PREFILL_EXPIRY_MARGIN
-        prefill = Prefill(tokens, copied, tuple(parts), now + way, expires_at)
+        prefill = Prefill(
+            tokens, copied, tuple(parts), now + transmission_delay, expires_at
+        )
         self.prefills_by_ticket[ticket] = prefill
-        self.parts.note(prefill.parts)
+        self.parts.record_use(prefill.parts)
 
     def end_prefill(self, ticket: str, is_good: bool, now: float) -> float | None:
         """
@@ -280,7 +284,7 @@
         self._last_prefill_end = now
         if not is_good:
             return None
-        self.fetchable.note(prefill.parts)
+        self.fetchable.record_use(prefill.parts)
         took = max(0.0, now - busy_since)
         self._update_costs(prefill, took)
         return took
@@ -298,13 +302,13 @@
         usual = self._costs.seconds(prefill.tokens, self.is_decode_engine)
         if self.has_measured_costs:
             self.slowness.learn(usual, took)
-            self._costs.usual(self.is_decode_engine).learn(usual, took)
+            self._costs.typical_slowness(self.is_decode_engine).learn(usual, took)
         self._costs.cost_model(self.is_decode_engine).learn(prefill.tokens, took)
 
     def fetched(self, parts: tuple[PromptPart, ...]) -> None:
         """Record that it fetched a prompt, which it caches like one of its own."""
-        self.parts.note(parts)
-        self.fetchable.note(parts)
+        self.parts.record_use(parts)
+        self.fetchable.record_use(parts)
 
     def outcome(self, is_good: bool) -> None:
         """Record the outcome of an attempt; a success ends a series of failures."""
--- a/pimentolink/targetqueue.py
+++ b/pimentolink/targetqueue.py
@@ -15,7 +15,7 @@
 Key = TypeVar("Key")
 
 
-class Waiting(NamedTuple, Generic[Key]):
+class QueuedRequest(NamedTuple, Generic[Key]):
     """
     A queued or running request.
 
@@ -50,10 +50,10 @@
         :param settings: limits and aging.
         """
         self._settings = settings
-        self._waiting_by_priority: list[OrderedDict[Key, Waiting[Key]]] = [
+        self._waiting_by_priority: list[OrderedDict[Key, QueuedRequest[Key]]] = [
             OrderedDict() for _ in range(LOWEST_PRIORITY + 1)
         ]
-        self._running_by_key: dict[Key, Waiting[Key]] = {}
+        self._running_by_key: dict[Key, QueuedRequest[Key]] = {}
         self.prefill_tokens = 0
         self.decode_tokens = 0
 
@@ -67,7 +67,7 @@
         """Number of requests that wait."""
         return sum(len(waiting) for waiting in self._waiting_by_priority)
 
-    def offer(self, item: Waiting[Key]) -> Result[Key | None, Overloaded]:
+    def offer(self, item: QueuedRequest[Key]) -> Result[Key | None, Overloaded]:
         """
         Queue a request.
 
@@ -86,7 +86,7 @@
         self._add_work(item, 1)
         return Ok(shed)
 
-    def take(self, now: float) -> Waiting[Key] | None:
+    def take(self, now: float) -> QueuedRequest[Key] | None:
         """
         Move the most urgent request to the running ones, if a slot is free.
 
@@ -133,16 +133,18 @@
                 self._add_work(waiting.pop(key), -1)
         return False
 
-    def _aged_priority(self, item: Waiting[Key], now: float) -> tuple[float, float]:
+    def _aged_priority(
+        self, item: QueuedRequest[Key], now: float
+    ) -> tuple[float, float]:
         aging_boost = (now - item.queued_at) / self._settings.aging
         return item.priority - aging_boost, item.queued_at
 
-    def _least_urgent(self) -> Waiting[Key]:
+    def _least_urgent(self) -> QueuedRequest[Key]:
         for waiting in reversed(self._waiting_by_priority):
             if waiting:
                 return waiting[next(reversed(waiting))]
         raise LookupError("the queue is empty")
 
-    def _add_work(self, item: Waiting[Key], sign: int) -> None:
+    def _add_work(self, item: QueuedRequest[Key], sign: int) -> None:
         self.prefill_tokens += sign * item.prefill_tokens
         self.decode_tokens += sign * item.decode_tokens
--- a/pimentolink/tracing.py
+++ b/pimentolink/tracing.py
@@ -109,7 +109,7 @@
         spans = self._spans_by_request.get(request_id, [])
         return sorted(spans, key=lambda span: span.start)
 
-    def take(self, request_id: str) -> bytes:
+    def pop_encoded(self, request_id: str) -> bytes:
         """
         Remove the spans of a request and return them for the previous hop.
 
@@ -119,7 +119,7 @@
         spans = self._spans_by_request.pop(request_id, [])
         return msgspec.json.encode(spans) if spans else b""
 
-    def put(self, request_id: str, spans: bytes) -> None:
+    def add_encoded(self, request_id: str, spans: bytes) -> None:
         """
         Add spans received from the next hop.
 
--- a/pimentolink/usagepublisher.py
+++ b/pimentolink/usagepublisher.py
@@ -7,7 +7,7 @@
 
 import xxhash
 
-from pimentolink.clocksync import TELL_INTERVAL as CLOCK_INTERVAL
+from pimentolink.clocksync import REPORT_INTERVAL as CLOCK_INTERVAL
 from pimentolink.clocksync import SynchronizedClock
 from pimentolink.peermessages import ClockReport, Message, UsageCounts
 from pimentolink.timers import Repeater, Timers
@@ -119,7 +119,7 @@
         :param life: identity of the sending process.
         """
         if isinstance(message, ClockReport):
-            self._clock.told(life, message.wall_ms / 1000)
+            self._clock.add_sample(life, message.wall_ms / 1000)
             return
         newest = self.window_of(self._clock.now()) + 1
         if max(self._first_open, newest - MAX_WINDOWS) <= message.window <= newest:
--- a/pimentolink/usagereporter.py
+++ b/pimentolink/usagereporter.py
@@ -200,7 +200,7 @@
         try:
             return await self._step()
         except LeaseLost as failure:
-            self._leadership.lost(failure)
+            self._leadership.on_lease_lost(failure)
         except KeyValueUnavailable:
             # The write may have been applied although its response was lost.
             self._is_key_current = False
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -202,7 +202,7 @@
         lease = lease_with_epoch(
             self.keys.epoch, int(request.path.decode().rpartition("/")[2])
         )
-        self.keys.end(lease).addCallback(lambda _: answer(request, {}))
+        self.keys.revoke(lease).addCallback(lambda _: answer(request, {}))
 
     def _with_faults(self, handler: Any) -> Any:
         def handle(request: Request) -> None:
--- a/tests/gatewaybuilders.py
+++ b/tests/gatewaybuilders.py
@@ -109,7 +109,7 @@
     shared: tuple[int, int] | None = None,
     at: float = 0.0,
     latency_target: float = 1.0,
-    patience: float = 6.0,
+    caller_timeout: float = 6.0,
     size: float = 1.0,
 ) -> WaitingPrompt:
     parts = [PromptPart(*shared)] if shared else []
@@ -123,7 +123,7 @@
         arrived_at=at,
         latency_target=latency_target,
         latency_deadline=at + latency_target,
-        due_at=at + patience,
+        due_at=at + caller_timeout,
     )
 
 
--- a/tests/jsonvalues.py
+++ b/tests/jsonvalues.py
@@ -30,7 +30,7 @@
 )
 
 
-def likely(*names, **valid):
+def documents_with(*names, **valid):
     """
     Return a strategy for documents with some of the fields that a parser reads.
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -34,14 +34,14 @@
     def test_is_never_said_not_to_have_run_once_it_may_have(self):
         self.attempts.sent("a")
         self.attempts.ran()
-        assert isinstance(self.attempts.final(RejectedUnrun()), OutcomeUnknown)
-        assert isinstance(self.attempts.expired(CannotBeInTime()), LateAnswer)
+        assert isinstance(self.attempts.final_failure(RejectedUnrun()), OutcomeUnknown)
+        assert isinstance(self.attempts.deadline_failure(CannotBeInTime()), LateAnswer)
 
     def test_is_said_not_to_have_run_if_all_rejected_it(self):
         self.attempts.sent("a")
         self.attempts.not_run()
         rejected = RejectedUnrun()
-        assert self.attempts.final(rejected) is rejected
+        assert self.attempts.final_failure(rejected) is rejected
 
     @pytest.mark.parametrize("failure", [NotListening(), Quarantined()])
     def test_sending_that_reached_no_target_is_none(self, failure):
@@ -66,4 +66,4 @@
         attempts.sent("a")
         attempts.ran()
         broken = ConnectionBroken()
-        assert attempts.final(broken) is broken
+        assert attempts.final_failure(broken) is broken
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -13,7 +13,7 @@
 
 def cells_for(gateways, data_centres, max_gateways=32):
     cells = Cells(max_gateways)
-    cells.divide(data_centre_by_gateway(gateways, data_centres))
+    cells.update_cells(data_centre_by_gateway(gateways, data_centres))
     return cells
 
 
@@ -41,7 +41,9 @@
 
     def test_order_of_the_list_makes_no_difference(self):
         from_reversed = Cells(32)
-        from_reversed.divide(dict(reversed(data_centre_by_gateway(100, 6).items())))
+        from_reversed.update_cells(
+            dict(reversed(data_centre_by_gateway(100, 6).items()))
+        )
         from_given = cells_for(100, 6)
         assert [from_given.of("e", f"dc-{n}") for n in range(6)] == [
             from_reversed.of("e", f"dc-{n}") for n in range(6)
@@ -49,15 +51,15 @@
 
     def test_one_gateway_more_changes_nothing(self):
         cells = cells_for(100, 6)
-        assert not cells.divide(data_centre_by_gateway(101, 6))
-        assert cells.divide(data_centre_by_gateway(200, 6))
+        assert not cells.update_cells(data_centre_by_gateway(101, 6))
+        assert cells.update_cells(data_centre_by_gateway(200, 6))
 
 
 class TestFleetInCells:
     def fleet_in_cells(self, *targets):
         divided_fleet = fleet(*targets)
         cells = cells_for(64, 2)
-        divided_fleet.divide(cells, cells.of("g0", "dc-0"))
+        divided_fleet.update_cells(cells, cells.of("g0", "dc-0"))
         return divided_fleet
 
     def test_engines_of_the_own_cell_get_work(self):
--- a/tests/test_clocksync.py
+++ b/tests/test_clocksync.py
@@ -34,13 +34,13 @@
     def test_minority_that_jumped_moves_nothing(self, clock, jumps):
         synchronized = SynchronizedClock(clock)
         for number, jump in enumerate(jumps):
-            synchronized.told(f"life-{number}", true_now(clock) + jump)
+            synchronized.add_sample(f"life-{number}", true_now(clock) + jump)
         assert synchronized.now() == pytest.approx(true_now(clock))
 
     def test_own_jump_moves_nothing_at_once(self, clock):
         synchronized = SynchronizedClock(clock)
         for number in range(2):
-            synchronized.told(f"life-{number}", true_now(clock))
+            synchronized.add_sample(f"life-{number}", true_now(clock))
         clock.advance(4.0)
         clock.jump = -2.0
         assert synchronized.now() == pytest.approx(true_now(clock))
@@ -55,6 +55,6 @@
     def test_gateway_that_is_gone_is_forgotten(self, clock):
         synchronized = SynchronizedClock(clock)
         for number in range(2):
-            synchronized.told(f"life-{number}", true_now(clock) + 5.0)
+            synchronized.add_sample(f"life-{number}", true_now(clock) + 5.0)
         clock.advance(SAMPLE_LIFETIME + 1.0)
         assert synchronized.now() == pytest.approx(true_now(clock))
--- a/tests/test_configurationverifier.py
+++ b/tests/test_configurationverifier.py
@@ -69,7 +69,9 @@
 
     def _send(self, receiver, message, sender):
         def arrive():
-            receiver.take(message, lambda reply: self._send(sender, reply, receiver))
+            receiver.handle_message(
+                message, lambda reply: self._send(sender, reply, receiver)
+            )
 
         self.sent += 1
         if not self.is_partitioned:
--- a/tests/test_crashreports.py
+++ b/tests/test_crashreports.py
@@ -164,27 +164,27 @@
         )
         admitting.addBoth(outcome.append)
         assert outcome == []
-        world.reports.take(SuspectTried("0" * 32), "peer")
+        world.reports.receive(SuspectTried("0" * 32), "peer")
         world.timers.advance(TRIAL_NOTICE)
         assert outcome[0].check(Quarantined)
 
     def test_answer_of_a_suspect_is_told(self, world):
         self.make_suspect(world)
-        world.reports.answered(make_request())
+        world.reports.request_succeeded(make_request())
         keys = [world.estimate(name).target.key for name in ("t1", "t3")]
         assert world.messages == [SuspectCleared(FATAL, keys)]
 
     def test_answer_after_one_crash_is_not_worth_telling(self, world):
         world.break_connection("t1", make_request())
         world.messages.clear()
-        world.reports.answered(make_request())
+        world.reports.request_succeeded(make_request())
         assert world.messages == []
 
 
 class TestOthersNews:
     def test_crashes_that_two_gateways_saw_add_up(self, world):
         world.break_connection("t1", make_request())
-        world.reports.take(TargetCrashed(99, [FATAL]), "peer")
+        world.reports.receive(TargetCrashed(99, [FATAL]), "peer")
         with pytest.raises(Quarantined):
             world.admit(make_request(request_id="b"))
         recorded = [fields for event, fields in world.lines if "wait" in fields]
@@ -192,6 +192,6 @@
 
     def test_cleared_request_may_be_sent(self, world):
         for key in (98, 99):
-            world.reports.take(TargetCrashed(key, [FATAL]), "peer")
-        world.reports.take(SuspectCleared(FATAL, [98]), "store")
+            world.reports.receive(TargetCrashed(key, [FATAL]), "peer")
+        world.reports.receive(SuspectCleared(FATAL, [98]), "store")
         world.admit(make_request())
--- a/tests/test_crossedtries.py
+++ b/tests/test_crossedtries.py
@@ -139,7 +139,7 @@
             reports.cut_off(request, self.estimate)
             return BROKEN
         if step == "answer":
-            reports.answered(request)
+            reports.request_succeeded(request)
             return OVER
         reports.target_ended(self.estimate.target, "nothing listens")
         return world.phases[number]
@@ -148,7 +148,7 @@
         suspects = pickle.loads(world.suspects[number])
         arriving = world.wire[number]
         message = pickle.loads(arriving[place])
-        make_reports(suspects, []).take(message, "peer")
+        make_reports(suspects, []).receive(message, "peer")
         return world._replace(
             suspects=replace_item(world.suspects, number, pickle.dumps(suspects)),
             wire=replace_item(
--- a/tests/test_forwarder.py
+++ b/tests/test_forwarder.py
@@ -71,7 +71,7 @@
         tables = RoutingTables()
         tables.offer(RoutingTable(3, [route(**changes)], [], None, keys))
         if is_current:
-            self.age.proven(self.timers.boot_time(), 0)
+            self.age.record_verification(self.timers.boot_time(), 0)
         self.log.lines.clear()
         self.forwarder = Forwarder(
             tables,
@@ -221,7 +221,7 @@
         handler = RecordingHandler()
         harness = ForwarderHarness(handler, KEYS)
         harness.timers.advance(60.0)
-        harness.age.proven(harness.timers.boot_time() - 1.0, 0)
+        harness.age.record_verification(harness.timers.boot_time() - 1.0, 0)
         harness.send(bearer(b"k-north"))
         assert len(handler.served) == 1
 
--- a/tests/test_keyspace.py
+++ b/tests/test_keyspace.py
@@ -158,12 +158,12 @@
         lease = store.grant(60.0)
         store.write(Write(key, b"one", 0, lease))
         store.renew(lease)
-        store.end(lease)
+        store.revoke(lease)
         assert store.read(key) is None
 
     def test_lapsed_lease_cannot_be_renewed_or_used(self, store, key):
         lease = store.grant(60.0)
-        store.end(lease)
+        store.revoke(lease)
         with pytest.raises(LeaseLost):
             store.renew(lease)
         with pytest.raises(LeaseLost):
@@ -221,7 +221,7 @@
             store.renew(lease)
         with pytest.raises(LeaseLost):
             store.write(Write(key, b"one", 0, lease))
-        store.end(lease)
+        store.revoke(lease)
 
     def test_changes_after_a_revision_from_before_are_lost(self, store, key):
         store.fault.copy()
--- a/tests/test_largefleet.py
+++ b/tests/test_largefleet.py
@@ -55,7 +55,7 @@
         large_fleet.targets_by_id["r1234"].end_prefill("t", True, 0.0)
         placer = make_placer(large_fleet, PlacementSettings())
         for _ in range(50):
-            placement = placer.best(prompt(), 0.0)
+            placement = placer.choose_placement(prompt(), 0.0)
             assert placement.cached_tokens == 5_099
             assert placement.estimate.target.target_id == "r1234"
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -18,7 +18,7 @@
     RoutingSettings,
 )
 from pimentolink.targetpool import TargetPool, TargetState
-from pimentolink.targetqueue import TargetQueue, Waiting
+from pimentolink.targetqueue import QueuedRequest, TargetQueue
 from tools.capacity import _request
 
 
@@ -94,7 +94,7 @@
         return TargetQueue(QueueSettings(slots=slots, waiting=waiting, aging=10))
 
     def offer(self, queue, key, priority, since=0.0):
-        return queue.offer(Waiting(key, priority, since, 10, 5))
+        return queue.offer(QueuedRequest(key, priority, since, 10, 5))
 
     def test_at_the_bound_the_least_urgent_is_shed(self):
         queue = self.queue()
@@ -179,8 +179,8 @@
 class TestPrefixMemory:
     def test_is_bounded_and_forgets_the_oldest(self):
         memory = PrefixIndex(2)
-        memory.note(_request()._replace(prefixes=(1,)), "a")
-        memory.note(_request()._replace(prefixes=(2, 3)), "b")
+        memory.record_prefill(_request()._replace(prefixes=(1,)), "a")
+        memory.record_prefill(_request()._replace(prefixes=(2, 3)), "b")
         assert (
             memory.expected_cached_tokens(_request()._replace(prefixes=(1,)), "a") == 0
         )
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -21,7 +21,7 @@
 from pimentolink.targetestimate import EngineRole
 from pimentolink.timers import ManualTimers
 from tests.gatewaybuilders import MODEL, gateway_settings
-from tests.jsonvalues import DOCUMENTS, likely
+from tests.jsonvalues import DOCUMENTS, documents_with
 
 
 def entry(**changes):
@@ -299,7 +299,7 @@
         key=st.sampled_from(
             ["pimentolink/gateways/g", "servers/a", "op/config", "pimentolink/orders"]
         ),
-        document=likely(
+        document=documents_with(
             "version", "phase", address="10.0.0.1:80", life="l", service="s", zone="z"
         )
         | DOCUMENTS,
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -222,8 +222,8 @@
         self.start_prefill(pair)
         updates = PeerUpdates(pair.fleets[1])
         now = pair.timers.now()
-        updates.take("l", PrefillStarted(7, ENGINE_KEY, 5000, []), now)
-        updates.take("l", OpenPrefills(7, []), now)
+        updates.apply("l", PrefillStarted(7, ENGINE_KEY, 5000, []), now)
+        updates.apply("l", OpenPrefills(7, []), now)
         assert "l-7" in pair.engine(1).prefills_by_ticket
 
     def test_readings_of_a_gateway_that_was_killed_are_forgotten(self, pair):
@@ -235,9 +235,9 @@
 
     def test_readings_of_an_earlier_life_are_forgotten_at_once(self, pair):
         updates = PeerUpdates(pair.fleets[1])
-        updates.take("first", InFlight("g", {}, True), 0.0)
-        updates.take("first", PrefillStarted(7, ENGINE_KEY, 5000, []), 0.0)
-        updates.take("second", InFlight("g", {}, True), 0.1)
+        updates.apply("first", InFlight("g", {}, True), 0.0)
+        updates.apply("first", PrefillStarted(7, ENGINE_KEY, 5000, []), 0.0)
+        updates.apply("second", InFlight("g", {}, True), 0.1)
         assert pair.engine(1).prefills_by_ticket == {}
 
 
@@ -251,7 +251,7 @@
         return egress_queue
 
     def test_messages_wait_and_share_a_datagram(self, pair, egress_queue):
-        egress_queue.sent(20_000)
+        egress_queue.record_sent(20_000)
         for number in range(4):
             pair.peers[0].broadcast(PrefillStarted(number, ENGINE_KEY, 500, []))
         assert pair.transports[0].datagrams == []
@@ -260,7 +260,7 @@
         assert len(pair.engine(1).prefills_by_ticket) == 4
 
     def test_they_wait_no_longer_than_told(self, pair, egress_queue):
-        egress_queue.sent(2_000_000)
+        egress_queue.record_sent(2_000_000)
         pair.peers[0].broadcast(PrefillStarted(1, ENGINE_KEY, 500, []))
         pair.timers.advance(0.051)
         assert len(pair.transports[0].datagrams) == 1
@@ -283,7 +283,9 @@
 
     def chosen(self, name, entries, most=MAX_GATEWAYS):
         cells = Cells(most)
-        cells.divide({other: entry.data_centre for other, entry in entries.items()})
+        cells.update_cells(
+            {other: entry.data_centre for other, entry in entries.items()}
+        )
         cell = cells.of(name, entries[name].data_centre)
         return choose_peers(name, cell, cells, entries)
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -101,7 +101,7 @@
     def test_large_prompt_is_not_turned_away_for_its_size_alone(self):
         test_fleet = fleet(*engines(2, 1))
         queue = make_prefill_queue(test_fleet)
-        large = prompt("large", 30_000, latency_target=0.5, patience=8.0)
+        large = prompt("large", 30_000, latency_target=0.5, caller_timeout=8.0)
         assert queue.add(large, 0.0) is None
 
     def test_what_waits_goes_by_worth_for_engine_time(self):
@@ -136,7 +136,7 @@
     def test_hopeless_prompts_are_given_up_before_they_are_due(self):
         test_fleet = fleet(*engines(1, 1))
         queue = make_prefill_queue(test_fleet, depth=0.0, late_factor=9.0)
-        assert queue.add(prompt("p", 4_000, patience=1.0), 0.0) is None
+        assert queue.add(prompt("p", 4_000, caller_timeout=1.0), 0.0) is None
         assert queue.pop_unservable(0.3) == []
         assert [item.request_id for item in queue.pop_unservable(0.9)] == ["p"]
 
@@ -146,9 +146,9 @@
 
     predictions = 0
 
-    def best(self, prompt, now):
+    def choose_placement(self, prompt, now):
         self.predictions += 1
-        return super().best(prompt, now)
+        return super().choose_placement(prompt, now)
 
 
 class TestManyWaiting:
@@ -167,7 +167,7 @@
         )
         queue = PrefillQueue(settings, self.placer)
         for number in range(self.QUEUE_LENGTH):
-            waiting = prompt(f"p{number}", 100 + number, patience=900.0)
+            waiting = prompt(f"p{number}", 100 + number, caller_timeout=900.0)
             assert queue.add(waiting, 0.0) is None
         return queue
 
@@ -222,7 +222,9 @@
         for number in range(8):
             tokens = 1_000 * (1 + number % 4)
             sent_at = 10.0 * number
-            prefill_engine.start_prefill(f"r{number}", tokens, (), sent_at, way=0.2)
+            prefill_engine.start_prefill(
+                f"r{number}", tokens, (), sent_at, transmission_delay=0.2
+            )
             prefill_engine.end_prefill(
                 f"r{number}", True, sent_at + 0.2 + tokens / 10_000
             )
@@ -231,7 +233,7 @@
     def test_prompt_on_its_way_keeps_no_engine_busy(self):
         test_fleet = fleet(*engines(1, 1))
         prefill_engine = test_fleet.targets_by_id["reader-0"]
-        prefill_engine.start_prefill("r", 1_000, (), 0.0, way=0.5)
+        prefill_engine.start_prefill("r", 1_000, (), 0.0, transmission_delay=0.5)
         assert prefill_engine.backlog(0.0) == pytest.approx(
             prefill_engine.prefill_time(1_000)
         )
@@ -248,7 +250,7 @@
         placer = Placer(settings, test_fleet, "north", egress_queue, GatewayDelay())
         queue = PrefillQueue(settings, placer)
         assert queue.add(prompt("first")._replace(body_bytes=9_000), 0.0) is None
-        egress_queue.sent(600_000)
+        egress_queue.record_sent(600_000)
         refused = queue.add(prompt("second")._replace(body_bytes=9_000), 0.0)
         assert isinstance(refused, CannotBeInTime)
 
@@ -261,7 +263,7 @@
             (5.0, EngineRole.DECODE),
         ):
             placer = make_placer(test_fleet, settings, megabits_per_second)
-            assert placer.best(waiting, 0.0).estimate.target.role is role
+            assert placer.choose_placement(waiting, 0.0).estimate.target.role is role
 
     def test_delay_of_this_gateway_is_expected_but_no_time_of_the_engine(self):
         test_fleet = fleet(*engines(1, 1))
@@ -270,10 +272,10 @@
         placer = Placer(
             PlacementSettings(), test_fleet, "north", egress_queue, gateway_delay
         )
-        before = placer.best(prompt("p"), 0.0)
+        before = placer.choose_placement(prompt("p"), 0.0)
         for _ in range(98):
             gateway_delay.learn(0.05, 0.0)
-        after = placer.best(prompt("p"), 0.0)
+        after = placer.choose_placement(prompt("p"), 0.0)
         assert after.done_at == pytest.approx(before.done_at + 0.049)
         assert after.engine_done_at == before.engine_done_at
 
@@ -322,7 +324,7 @@
         test_fleet.targets_by_id["reader-0"].start_prefill("r", 4_000, (), 0.0)
         queue = make_prefill_queue(test_fleet, late_factor=9.0)
         queue.add(prompt("p", 2_000), 0.0)
-        placement = queue._placer.best(prompt("p", 2_000), 0.0)
+        placement = queue._placer.choose_placement(prompt("p", 2_000), 0.0)
         assert placement.estimate.target.target_id == "reader-0"
 
     def test_answer_is_written_near_its_reader_unless_busy_there(self):
@@ -331,9 +333,11 @@
             target("there", EngineRole.DECODE, data_centre="south"),
         )
         placer = make_prefill_queue(test_fleet)._placer
-        assert placer.writer("s", "south", 0.0).target.target_id == "there"
+        assert (
+            placer.choose_decode_engine("s", "south", 0.0).target.target_id == "there"
+        )
         test_fleet.targets_by_id["there"].in_flight = 30
-        assert placer.writer("s", "south", 0.0).target.target_id == "here"
+        assert placer.choose_decode_engine("s", "south", 0.0).target.target_id == "here"
 
 
 class TestHealth:
@@ -373,7 +377,9 @@
         for _ in range(3):
             test_fleet.failed(decode_engine, 0.0)
         assert (
-            make_prefill_queue(test_fleet)._placer.writer("s", "north", 0.1)
+            make_prefill_queue(test_fleet)._placer.choose_decode_engine(
+                "s", "north", 0.1
+            )
             is decode_engine
         )
 
--- a/tests/test_platform_dialect.py
+++ b/tests/test_platform_dialect.py
@@ -21,7 +21,7 @@
     read_request,
 )
 from pimentolink.prefillscheduler import encode_parts
-from tests.jsonvalues import DOCUMENTS, likely
+from tests.jsonvalues import DOCUMENTS, documents_with
 
 NUMBERS = st.one_of(
     st.integers(-5, 20_000).map(str),
@@ -65,7 +65,7 @@
         parsed = read_request(http, 3.0).unwrap()
         assert parsed.parts == (PromptPart(0x5C1E, 800), PromptPart(0x91BD, 410))
         assert (parsed.prompt_tokens, parsed.output_tokens) == (1210, 80)
-        assert (parsed.patience, parsed.arrived_at) == (0.9, 3.0)
+        assert (parsed.caller_timeout, parsed.arrived_at) == (0.9, 3.0)
 
     @pytest.mark.parametrize(
         "headers",
@@ -114,8 +114,8 @@
             1, 2, parsed_request.prompt_tokens, encode_parts(parsed_request.parts)
         )
         assert PeerOutbox("life").add(message)
-        PlatformDialect().sending(
-            parsed_request, SendOptions("e", parsed_request.patience)
+        PlatformDialect().target_request(
+            parsed_request, SendOptions("e", parsed_request.caller_timeout)
         )
 
 
@@ -138,7 +138,7 @@
         assert isinstance(parsed.err(), ReplyInvalid)
 
     @settings(max_examples=10_000, deadline=None)
-    @given(body=likely("kvHandle", "tokens", "version") | DOCUMENTS)
+    @given(body=documents_with("kvHandle", "tokens", "version") | DOCUMENTS)
     def test_any_answer_to_a_reading_is_read_or_refused(self, body):
         parsed = PlatformDialect().read_prefill_reply(make_reply(body))
         if isinstance(parsed, Ok):
@@ -154,7 +154,7 @@
             assert isinstance(parsed.err_value, ReplyInvalid)
 
     @settings(max_examples=10_000, deadline=None)
-    @given(body=likely("phase", "busy", "sequence") | DOCUMENTS)
+    @given(body=documents_with("phase", "busy", "sequence") | DOCUMENTS)
     def test_any_report_is_read_or_refused(self, body):
         parsed = PlatformDialect().read_report(make_reply(body))
         assert isinstance(parsed, Ok) or isinstance(parsed.err_value, ReplyInvalid)
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -14,7 +14,7 @@
 from pimentolink.gatewaysettings import EjectionSettings, PlacementSettings
 from pimentolink.platform.documents import PlatformDocuments
 from pimentolink.settings import split_address
-from tests.jsonvalues import DOCUMENTS, VALUES, likely
+from tests.jsonvalues import DOCUMENTS, VALUES, documents_with
 
 ROUTE = {
     "name": "r",
@@ -109,7 +109,7 @@
     @settings(max_examples=10_000, deadline=None)
     @given(
         name=st.text(max_size=5),
-        document=likely("phase", "born", **TARGET) | DOCUMENTS,
+        document=documents_with("phase", "born", **TARGET) | DOCUMENTS,
     )
     def test_any_entry_can_be_used_or_is_refused(self, name, document):
         parsed = PlatformDocuments().read_target(f"servers/{name}", document)
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -13,7 +13,7 @@
 from pimentolink.platform import store as store_module
 from pimentolink.platform.store import PlatformStore
 from pimentolink.timers import ManualTimers
-from tests.jsonvalues import DOCUMENTS, VALUES, likely
+from tests.jsonvalues import DOCUMENTS, VALUES, documents_with
 
 ITEM = {"key": "k", "revision": 3, "value": "YQ=="}
 ITEMS = st.lists(
@@ -23,7 +23,7 @@
     max_size=2,
 )
 REPLIES = st.one_of(
-    likely("lease", "revision", **ITEM),
+    documents_with("lease", "revision", **ITEM),
     st.fixed_dictionaries(
         {
             "items": ITEMS,
--- a/tests/test_registration.py
+++ b/tests/test_registration.py
@@ -122,7 +122,7 @@
         world.store._keyspace.read_all = lambda prefix: (
             read.append(1) or read_all(prefix)
         )
-        world.follower.may_ask = lambda: world.registration.is_store_reachable
+        world.follower.may_call_store = lambda: world.registration.is_store_reachable
         world.timers.advance(3.3)
         world.store._keyspace.set_down(True)
         world.timers.advance(10.0)
--- a/tests/test_rolebalance.py
+++ b/tests/test_rolebalance.py
@@ -38,7 +38,7 @@
         if change is not None:
             changes.append((second, change.role))
             gateway_fleet.put(change.estimate.target._replace(role=change.role))
-            balancer.begun("s", float(second))
+            balancer.record_order("s", float(second))
     return changes
 
 
@@ -178,8 +178,8 @@
             change = balancer.decide("s", float(second))
             if change is not None:
                 change.estimate.changing_until = second + 100.0
-                balancer.begun("s", float(second))
-                balancer.accepted("s", change)
+                balancer.record_order("s", float(second))
+                balancer.record_accepted("s", change)
                 ordered.append(change.estimate.target.target_id)
         assert len(ordered) == len(set(ordered)) == 5
 
--- a/tests/test_suspects.py
+++ b/tests/test_suspects.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from pimentolink.crashhistory import (
+    CRASH_TTL,
     FAILED_TRIAL_QUARANTINE,
-    KEEP,
     SUSPECT_QUARANTINE,
     quarantine_time,
 )
@@ -294,8 +294,8 @@
     def test_crashes_are_forgotten(self, suspects):
         for target in (1, 2, 3):
             crash(suspects, target, 0.0, FATAL)
-        assert suspects.crashes(FATAL, KEEP + 1) == []
-        assert suspects.refusal(FATAL, "a", KEEP + 1) is None
+        assert suspects.crashes(FATAL, CRASH_TTL + 1) == []
+        assert suspects.refusal(FATAL, "a", CRASH_TTL + 1) is None
 
 
 class TestBounds:
--- a/tests/test_suspectstore.py
+++ b/tests/test_suspectstore.py
@@ -5,7 +5,7 @@
 import pytest
 from hypothesis import given, settings
 
-from pimentolink.crashhistory import FAILED_TRIAL_QUARANTINE, KEEP
+from pimentolink.crashhistory import CRASH_TTL, FAILED_TRIAL_QUARANTINE
 from pimentolink.crashreports import CrashReports
 from pimentolink.keyspace import Change
 from pimentolink.memorykeyspace import MemoryKeyspace
@@ -42,7 +42,7 @@
             Random(name),
             self,
         )
-        self.store.on_message = self.reports.take
+        self.store.on_message = self.reports.receive
         self.reports.on_crash_recorded = self.store.crash_recorded
         self.reports.on_cleared = self.store.cleared
 
@@ -53,7 +53,7 @@
         self.lines.append((event.number, fields))
 
     def receive_crash(self, target, *names):
-        self.reports.take(TargetCrashed(target, list(names)), "peer")
+        self.reports.receive(TargetCrashed(target, list(names)), "peer")
 
     def detect_crash(self, target, *names):
         now = self.timers.now()
@@ -109,7 +109,7 @@
         for target in (1, 2):
             gateway.detect_crash(target, FATAL)
         world.timers.advance(1.0)
-        gateway.reports.take(TargetCrashed(3, [FATAL], True), "peer")
+        gateway.reports.receive(TargetCrashed(3, [FATAL], True), "peer")
         world.timers.advance(RELAYED_WRITE_DELAY + RELAYED_WRITE_JITTER)
         later = world.gateway("g2")
         later.read_documents()
@@ -186,7 +186,7 @@
         gateway = world.gateway("g1")
         for target in (1, 2):
             gateway.detect_crash(target, FATAL)
-        world.timers.advance(KEEP + 1.0)
+        world.timers.advance(CRASH_TTL + 1.0)
         assert documents(world.keyspace) == []
 
 
--- a/tests/test_targetclient.py
+++ b/tests/test_targetclient.py
@@ -11,7 +11,7 @@
 from pimentolink.logs import Log
 from pimentolink.metrics import Metrics
 from pimentolink.platform.dialect import PlatformDialect
-from pimentolink.targetclient import Caller
+from pimentolink.targetclient import TargetClient
 from pimentolink.timers import ManualTimers
 from tests.gatewaybuilders import fleet, target
 
@@ -21,7 +21,7 @@
     host="h.example",
     path="/p/",
     arrived_at=0.0,
-    patience=1.0,
+    caller_timeout=1.0,
     parts=(),
     prompt_tokens=0,
     output_tokens=0,
@@ -41,7 +41,7 @@
     def connection_lost(self, estimate):
         pass
 
-    def answered(self, request):
+    def request_succeeded(self, request):
         pass
 
 
@@ -49,7 +49,7 @@
     def __init__(self):
         self.reactor = MemoryReactor()
         self.fleet = fleet(target("t"))
-        self.caller = Caller(
+        self.target_client = TargetClient(
             self.reactor,
             ConnectionSettings(),
             self.fleet,
@@ -63,7 +63,9 @@
     def begin(self, time_left):
         outcome = []
         estimate = self.fleet.targets_by_id["t"]
-        pending = self.caller.begin(REQUEST, estimate, SendOptions("t", time_left))
+        pending = self.target_client.begin(
+            REQUEST, estimate, SendOptions("t", time_left)
+        )
         Deferred.fromCoroutine(pending).addBoth(outcome.append)
         return outcome
 
--- a/tests/test_usagereporter.py
+++ b/tests/test_usagereporter.py
@@ -201,7 +201,7 @@
             name = f"organisation-{number}"
             window = int(self.timers.wall_time() // WINDOW)
             self.expected_by_window.setdefault(window, Counter())[name] += 1
-            gateway.metering.begun(name, self.timers.now())
+            gateway.metering.request_started(name, self.timers.now())
 
     def leader(self):
         found = [item for item in self.gateways_by_name.values() if item.leads]
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -151,8 +151,8 @@
         connection = VirtualConnection(self.network, self)
         self.network.connections.append(connection)
         self._connection = connection
-        hello = server.listener.greeting()
-        greeting = self._listener.greeting()
+        hello = server.listener.make_hello()
+        greeting = self._listener.make_hello()
         self._listener.link_up(self, hello)
         server.listener.link_up(connection, greeting)
 
--- a/tools/enginemodel.py
+++ b/tools/enginemodel.py
@@ -104,9 +104,9 @@
         prefill_time += copied / self.figures.copy_rate
         self._prefill_busy_until = prefill_start + prefill_time
         self.tokens_read += tokens
-        self._planned_cache.note(parts)
+        self._planned_cache.record_use(parts)
         await self._wait(prefill_start + prefill_time - now)
-        self._cache.note(parts)
+        self._cache.record_use(parts)
 
     def _effective_prefill_rate(self) -> float:
         share = self.figures.writer_share if self.role is EngineRole.DECODE else 1.0
@@ -120,8 +120,8 @@
         """
         missing = sum(part.tokens for part in parts) - self._cache.cached_tokens(parts)
         await self._wait(missing / self.figures.copy_rate)
-        self._planned_cache.note(parts)
-        self._cache.note(parts)
+        self._planned_cache.record_use(parts)
+        self._cache.record_use(parts)
 
     async def write(self, tokens: int) -> None:
         """
--- a/tools/fakeentries.py
+++ b/tools/fakeentries.py
@@ -23,7 +23,7 @@
         """Name this one."""
         self._number = number
 
-    def greeting(self) -> link_pb2.EntryHello:
+    def make_hello(self) -> link_pb2.EntryHello:
         """Say who this is."""
         return link_pb2.EntryHello(instance_id=f"entry-{self._number}")
 
--- a/tools/replay.py
+++ b/tools/replay.py
@@ -213,7 +213,7 @@
                 PromptPart((kind_number + 1) * 1_000_000 + topic, kind.shared),
                 PromptPart(10_000_000 + number, own),
             )
-            size = scale.worth(name, kind.shared + own, kind.output)
+            size = scale.value(name, kind.shared + own, kind.output)
             asked = random.randrange(kind.alike) if kind.alike else number
             fingerprint = f"{kind_number:016x}{asked:016x}"
             found.append(Request(name, number, at, parts, size, fingerprint))
@@ -315,7 +315,7 @@
 class _Straight(Placer):
     """Sends each prompt to an engine without regard to parts or backlog."""
 
-    def best(self, prompt: WaitingPrompt, now: float) -> Placement | None:
+    def choose_placement(self, prompt: WaitingPrompt, now: float) -> Placement | None:
         engines = self._fleet.usable(prompt.service, now)
         if not engines:
             return None
@@ -330,7 +330,7 @@
             copied_tokens=0,
             is_prefill_only=is_prefill_engine,
             engine_done_at=now,
-            way=0.0,
+            transmission_delay=0.0,
             handover_time=0.0,
         )
 
@@ -404,7 +404,7 @@
             policy.settings, self.fleet, "here", known, gateway_delay
         )
         self._queue = queue = PrefillQueue(policy.settings, self.placer)
-        self.readings = PrefillScheduler(
+        self.prefill_scheduler = PrefillScheduler(
             queue, self, timers, QuietLog(), name, gateway_delay
         )
         self._book = PeerUpdates(self.fleet)
@@ -416,13 +416,13 @@
 
     def _hear(self, sender: str, message: Message) -> None:
         if isinstance(message, SuspectMessage):
-            self.crashes.take(message, "peer")
+            self.crashes.receive(message, "peer")
             return
         if not isinstance(message, LoadMessage):
             return
-        self._book.take(sender, message, self._replay.timers.now())
+        self._book.apply(sender, message, self._replay.timers.now())
         if isinstance(message, PrefillStarted | PrefillEnded):
-            self.readings.look()
+            self.prefill_scheduler.dispatch_waiting()
 
     async def _admit(self, request: Request, request_id: str) -> None:
         if self._is_suspecting:
@@ -452,7 +452,7 @@
         waiting = self._queue.queued_work_by_service()
         self.broadcast(InFlight(self._name, counts, True, waiting))
         if self._tells_open:
-            self.broadcast(self.readings.open_prefills())
+            self.broadcast(self.prefill_scheduler.open_prefills())
 
     async def serve(self, request: Request, kind: Kind, due_at: float) -> float:
         """
@@ -486,7 +486,7 @@
             due_at=due_at,
             body_bytes=self._body_bytes(request, kind),
         )
-        ticket = await self.readings.wait(prompt)
+        ticket = await self.prefill_scheduler.wait(prompt)
         placement = ticket.placement
         is_good = False
         try:
@@ -497,7 +497,7 @@
             await self._on(request, request_id, placement.estimate, reading)
             is_good = True
         finally:
-            self.readings.end(ticket, is_good)
+            self.prefill_scheduler.end(ticket, is_good)
         writer = placement.estimate
         if placement.is_prefill_only:
             await self._send(prompt.body_bytes)
@@ -509,7 +509,7 @@
         await self._on(request, request_id, writer, engine.write(1))
         first_at = self._replay.timers.now()
         await self._on(request, request_id, writer, engine.write(kind.output - 1))
-        self.crashes.answered(_asked(request, request_id, first_at))
+        self.crashes.request_succeeded(_asked(request, request_id, first_at))
         return first_at
 
     def _body_bytes(self, request: Request, kind: Kind) -> int:
@@ -519,7 +519,7 @@
     async def _send(self, size: int) -> None:
         """Let a prompt leave over this gateway's link."""
         delay = self._egress_queue.delay(size)
-        self._egress_queue.sent(size)
+        self._egress_queue.record_sent(size)
         if delay:
             await pause(self._replay.timers, delay)
 
@@ -528,7 +528,7 @@
     ) -> TargetEstimate:
         now = self._replay.timers.now()
         near = reader.target.data_centre
-        writer = self.placer.writer(SERVICE, near, now)
+        writer = self.placer.choose_decode_engine(SERVICE, near, now)
         if writer is None:
             raise Failure("no engine writes")
         fetching = self._replay.engine(writer).fetch(request.parts)
@@ -664,7 +664,7 @@
         engine.start_again()
         for gateway in self._gateways:
             gateway.fleet.put(_listed(engine))
-            gateway.readings.look()
+            gateway.prefill_scheduler.dispatch_waiting()
 
     def ask(self, request: Request) -> None:
         """Let a caller ask."""
--- a/tools/stepsource.py
+++ b/tools/stepsource.py
@@ -28,7 +28,7 @@
         self._data_centre = data_centre
         self._streams_by_link: dict[Any, dict[int, list[int]]] = {}
 
-    def greeting(self) -> link_pb2.SidecarHello:
+    def make_hello(self) -> link_pb2.SidecarHello:
         """Say who this is."""
         return link_pb2.SidecarHello(
             target_id=self._target_id, data_centre=self._data_centre
