--- a/pimentolink/adoption.py
+++ b/pimentolink/adoption.py
@@ -71,7 +71,7 @@
 
     def offer_patch(self, patch: bytes, version: int, digest: str) -> bool:
         """
-        Replace the current configuration by applying a patch to it.
+        Replace the current configuration by applying a patch to it, if possible.
 
         :param patch: JSON merge patch (RFC 7396) from the previous version.
         :param version: version of the patched document.
--- a/pimentolink/executor.py
+++ b/pimentolink/executor.py
@@ -18,8 +18,8 @@
 from pimentolink.timers import Timers
 from pimentolink.tracing import Tracing
 
-# Prompts of at least this many tokens slow down the other requests that the engine
-# serves at the time; their tokens are reported in the load.
+# Prompts of at least this many tokens noticeably slow down the other requests that the
+# engine serves at the time; their tokens are reported separately in the load.
 LONG_PREFILL_TOKENS = 1_024
 
 
@@ -28,17 +28,29 @@
     Queues, starts and finishes the attempts at one target.
 
     Sends exactly one ``Finish`` for each submitted attempt, unless its link is lost or
-    the entry cancels it. A call under a claim is made at most once and runs to
-    completion even if no attempt waits for it any more.
+    the entry cancels it.
 
-    :ivar older_system: target of submissions with ``to_older_system``, if there is one.
-    :ivar prefill_done: prompt tokens processed since the start.
+    A claim is a stored record that a call with an idempotency key may run once. A call
+    under a claim is made at most once and runs to completion even if no attempt waits
+    for it any more.
+
+    The attributes ``is_draining``, ``is_held``, ``is_drained`` and ``target_is_lost``
+    are independent reasons to refuse new attempts.
+
+    :ivar older_system: client of the older system, which serves the submissions with
+        ``to_older_system``; ``None`` if the configuration has no older system.
+    :ivar prefill_done: prompt tokens, as predicted by the entry, of the attempts whose
+        first token was received since the start.
     :ivar decode_done: output tokens received since the start.
-    :ivar long_prefill_asked: prompt tokens of long prompts submitted since the start.
+    :ivar long_prefill_asked: prompt tokens of long prompts submitted since the start,
+        including attempts that the full queue then refused or removed.
     :ivar is_draining: whether this process is stopping.
-    :ivar is_held: whether new attempts are refused until :meth:`release`.
-    :ivar target_is_lost: whether the target has stopped responding.
-    :ivar is_drained: whether the configuration drains the target or lacks it.
+    :ivar is_held: whether new attempts are refused until :meth:`release`, because an
+        order to the engine is due.
+    :ivar target_is_lost: whether the target has stopped responding; reset by the owner
+        of this object when the target responds again.
+    :ivar is_drained: whether the configuration takes the target out of service or does
+        not contain it.
     """
 
     def __init__(
@@ -55,12 +67,12 @@
 
         :param settings: limits of the queue.
         :param target: the target that this sidecar serves.
-        :param claims: finds the partition that commits the claim of a call that may
-            not be repeated.
+        :param claims: finds the partition, a share of a service's claims, that stores
+            the claim of a call.
         :param timers: the timer service.
         :param tracing: creates spans.
-        :param max_kept_answers: number of answers kept for callers that repeat a
-            request.
+        :param max_kept_answers: maximum number of responses kept for callers that
+            repeat a request.
         """
         self._target = target
         self._timers = timers
@@ -184,7 +196,7 @@
         """
         Fail queued and running attempts, since the target no longer responds.
 
-        Attempts under a claim are left to the claimed call.
+        Attempts that wait for a claimed call are finished when that call ends.
         """
         self.target_is_lost = True
         for attempt in list(self._attempts_by_key.values()):
@@ -198,7 +210,7 @@
         """
         Refuse new attempts until :meth:`release`.
 
-        :returns: fires when all attempts accepted before have finished.
+        :returns: a Deferred that fires when all attempts accepted before have finished.
         """
         self.is_held = True
         return self.when_idle()
@@ -211,7 +223,8 @@
         """
         Wait until the executor is idle.
 
-        :returns: fires when nothing is left to do; at once if it is idle already.
+        :returns: a Deferred that fires when no attempt and no claimed call is left; at
+            once if the executor is idle already.
         """
         waiter: Deferred[None] = Deferred()
         self._idle_waiters.append(waiter)
@@ -226,6 +239,7 @@
             )
         )
         if attempt.offset == len(attempt.submit.resume_tokens):
+            # The first token of this attempt: its prompt has been processed.
             self.prefill_done += attempt.submit.prefill_tokens
             self._queue.prefilled(attempt.key)
         attempt.offset += len(tokens)
@@ -255,6 +269,7 @@
     def _fail_shed_attempt(
         self, offer_result: Result[AttemptKey | None, Overloaded], attempt: Attempt
     ) -> None:
+        """Fail the attempt that the full queue refused or removed, if any."""
         if isinstance(offer_result, Err):
             self.fail(attempt, offer_result.err_value)
         elif offer_result.ok_value is not None:
@@ -272,13 +287,14 @@
         submit = attempt.submit
         if submit.idempotency_key:
             if self._claimed_calls.join(attempt):
-                # Only an attempt whose own call runs occupies a slot.
+                # An attempt that waits for another attempt's call occupies no slot.
                 self._queue.remove(attempt.key)
             else:
                 self._claimed_calls.start(attempt)
             return
         listener = _AttemptListener(self, attempt)
         target = self._target_for(submit)
+        # Only requests to a model have token counts; their responses are streamed.
         if submit.prefill_tokens or submit.decode_tokens:
             attempt.running = target.start_stream(
                 self._make_target_call(attempt), listener
@@ -298,6 +314,7 @@
         return self._target
 
     def _make_target_call(self, attempt: Attempt) -> TargetCall:
+        """Start the span of an attempt's call and return the call."""
         submit = attempt.submit
         headers = {header.name: header.value for header in submit.headers}
         attempt.call_span = self._tracing.start(
@@ -325,6 +342,7 @@
         self._claimed_calls.abandon(attempt)
         attempt.call_span.end()
         attempt.span.end()
+        # Discard the spans: no Finish will carry them.
         self._tracing.pop_encoded(attempt.submit.request_id)
         self._remove_attempt(attempt)
         self._start_next()
@@ -343,7 +361,7 @@
 
 
 class _AttemptListener:
-    """Forwards the events of an unclaimed call to its attempt."""
+    """Forwards the events of a call without a claim to its attempt."""
 
     def __init__(self, executor: Executor, attempt: Attempt) -> None:
         self._executor = executor
--- a/pimentolink/prefillscheduler.py
+++ b/pimentolink/prefillscheduler.py
@@ -1,4 +1,4 @@
-"""Queues prompts until an engine has room and tracks prefills in progress."""
+"""Dispatches queued prompts to engines and tracks the prefills in progress."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 from pimentolink.targetestimate import prefill_ticket
 from pimentolink.timers import Timer, Timers
 
-# Seconds between two polls of a non-empty queue. Without any event, predictions still
-# change as time passes.
+# Seconds between two polls of a non-empty queue. Predictions change with time, so a
+# prompt may become dispatchable, or too late, without any event.
 POLL_INTERVAL = 0.05
 
 
 class DispatchedPrefill:
-    """A prefill sent to an engine, from its dispatch to its end."""
+    """A prefill that was dispatched to an engine, until its end."""
 
     def __init__(
         self, number: int, request_id: str, placement: Placement, began_at: float
@@ -36,6 +36,9 @@
         """
         Record the prediction made at dispatch.
 
+        The prediction is used for the delay of this gateway only if it was based on
+        measured prefills.
+
         :param number: sequence number of the prefill within this gateway process.
         :param request_id: request that the prompt belongs to.
         :param placement: engine and predicted times.
@@ -51,7 +54,15 @@
 
 
 class PrefillScheduler:
-    """Dispatches queued prompts to engines as these get room."""
+    """
+    Dispatches queued prompts to engines.
+
+    An engine has room for another prompt while its predicted backlog does not exceed
+    the configured depth.
+
+    :ivar estimate_age: returns the seconds since the store, from which the target list
+        comes, last responded; for the log.
+    """
 
     def __init__(
         self,
@@ -69,9 +80,9 @@
         :param publisher: informs other gateways of prefills.
         :param timers: the timer service.
         :param log: receives log events.
-        :param gateway: identifies this incarnation of the gateway process; part of the
-            name of each prefill.
-        :param gateway_delay: learns the delay that this gateway adds to prefills.
+        :param gateway: identifies this incarnation of the gateway process; prefix of
+            each prefill's identifier.
+        :param gateway_delay: estimates the delay that this gateway adds to prefills.
         """
         self._queue = queue
         self._publisher = publisher
@@ -87,9 +98,10 @@
 
     def wait(self, prompt: WaitingPrompt) -> Deferred[DispatchedPrefill]:
         """
-        Wait until an engine has room for a prompt.
+        Queue a prompt and wait until it is dispatched to an engine.
 
-        :returns: the dispatched prefill.
+        :param prompt: the prompt; cancelling the Deferred removes it from the queue.
+        :returns: a Deferred that fires with the dispatched prefill.
         :raises CannotBeInTime: once the prompt can no longer be served in time.
         :raises NoTarget: if no engine accepts work.
         """
@@ -129,6 +141,7 @@
         self.dispatch_waiting()
 
     def _refuse_unservable(self) -> None:
+        """Reject the prompts that can no longer be served in time."""
         for prompt in self._queue.pop_unservable(self._timers.now()):
             failure = CannotBeInTime("the engines fell behind", DEFAULT_RETRY_AFTER)
             self._log_refusal(prompt, failure)
@@ -137,6 +150,7 @@
     def _start_prefill(
         self, prompt: WaitingPrompt, placement: Placement, now: float
     ) -> DispatchedPrefill:
+        """Record a dispatch and announce it; the caller sends the request."""
         number = self._next_number
         self._next_number += 1
         self._open_numbers.add(number)
@@ -184,9 +198,10 @@
 
     def end(self, ticket: DispatchedPrefill, is_good: bool) -> None:
         """
-        Record the end of a prefill.
+        Record the end of a prefill; a second call for it has no effect.
 
-        :param is_good: whether it completed, so that its duration can be learned.
+        :param ticket: the prefill.
+        :param is_good: whether it completed; only then is its duration used.
         """
         if ticket.is_over:
             return
--- a/pimentolink/rolecontroller.py
+++ b/pimentolink/rolecontroller.py
@@ -1,4 +1,4 @@
-"""Orders engines to change their roles, from one gateway at a time."""
+"""Orders engines to change their roles; only the leading gateway does so."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from pimentolink.targetestimate import EngineReport, TargetEstimate
 from pimentolink.timers import Timers, await_all, with_timeout
 
-# Seconds for which an engine gets no further order after an order without an answer,
-# which may still be carried out up to 12 s after it was sent.
+# Seconds for which an engine gets no further order after an order without a reply. An
+# order without a reply may still be carried out up to 12 s after it was sent.
 ORDER_UNCERTAINTY = 13.0
 # Timeout, in seconds, of an order and of a request for an engine's report.
 ORDER_TIMEOUT = 0.8
-# Seconds that a role change takes beyond the switch itself, since running answers end
-# first.
+# Seconds added to the model's time for a change of role, since the engine first
+# completes the responses in progress.
 DRAIN_TIME = 2.0
 
 
@@ -53,7 +53,8 @@
     store before each round of orders, and a new leader waits until orders of the
     previous one can no longer arrive.
 
-    :ivar services: lists the services whose engines this gateway controls.
+    :ivar services: returns the names of the services whose engines this gateway
+        controls.
     """
 
     def __init__(
@@ -74,10 +75,10 @@
         :param balancer: decides which engines change their role.
         :param fleet: the engines.
         :param dialect: encodes orders and decodes replies.
-        :param send: makes one call on a connection of its own.
+        :param send: sends one HTTP request to an engine over a new connection.
         :param publisher: announces role changes to other gateways.
         :param timers: the timer service.
-        :param log: receives events.
+        :param log: receives log events.
         """
         self._leadership = leadership
         self._balancer = balancer
@@ -87,18 +88,25 @@
         self._publisher = publisher
         self._timers = timers
         self._log = log
+        # The previous leader may act on a read of the leader key for MAX_READ_AGE, so a
+        # new one waits longer than the lease.
         self._takeover_wait = leadership.lease_time + 2 * MAX_READ_AGE
         self._uncertain_until: dict[str, float] = {}
         self.services: Callable[[], list[str]] = list
 
     async def lead(self) -> None:
-        """Decide on role changes for all services and order them."""
+        """Run one round: decide on role changes for all services and order them."""
         for service in self.services():
             self._balancer.observe(service, self._timers.now())
             changes = self._balancer.decide_all(service, self._timers.now())
             await self._send_orders(service, changes)
 
     def _may_order(self, change: RoleChange) -> bool:
+        """
+        Tell whether the engine may get an order now.
+
+        This gateway must lead, and no earlier order without a reply may be pending.
+        """
         uncertain_until = self._uncertain_until.get(
             change.estimate.target.target_id, 0.0
         )
@@ -106,13 +114,15 @@
         return is_leader and self._timers.now() >= uncertain_until
 
     async def _send_orders(self, service: str, changes: list[RoleChange]) -> None:
-        """Send a round of orders after one read that confirms the leadership."""
+        """Send a round of orders after one read of the store confirms leadership."""
         allowed = [change for change in changes if self._may_order(change)]
         reports = await await_all([self._fetch_report(change) for change in allowed])
         orders: list[_Order] = []
         for change, report in zip(allowed, reports, strict=True):
             if report is None or not _is_needed(change, report):
-                # The target list does not show a role change or a restart yet.
+                # The engine did not report, or the target list does not show its role
+                # change or restart yet. Count the change as ordered, so that it is not
+                # decided again at once.
                 self._balancer.record_order(service, self._timers.now())
                 continue
             message = self._dialect.role_change_request(
@@ -129,6 +139,7 @@
 
     async def _send_order(self, service: str, order: _Order) -> None:
         change = order.change
+        # The lease may have come close to its end during the read.
         if not self._may_order(change):
             return
         self._balancer.record_order(service, self._timers.now())
@@ -142,7 +153,11 @@
             self._log_order(LogEvent.ORDER_FAILED, change, str(outcome.err_value))
 
     async def _fetch_report(self, change: RoleChange) -> EngineReport | None:
-        """Ask the engine for its state; the target list shows it with a delay."""
+        """
+        Ask the engine for its state, which the target list shows only with a delay.
+
+        :returns: ``None`` if the engine does not send a readable report.
+        """
         estimate = change.estimate
         asking = self._send(estimate, self._dialect.report_request(estimate))
         try:
@@ -196,7 +211,12 @@
 
 
 def _is_needed(change: RoleChange, report: EngineReport) -> bool:
-    """Tell whether the engine is idle, in another role and not restarted since."""
+    """
+    Tell whether an engine still needs the order for a role change.
+
+    It does if it is not executing an order, is in another role and has not restarted
+    since the target list was read.
+    """
     is_role_different = report.role is not change.role
     return (
         is_role_different
