--- a/tools/fakeentries.py
+++ b/tools/fakeentries.py
@@ -1,4 +1,4 @@
-"""Many entries' links to one sidecar, for measuring the sidecar."""
+"""Opens many idle entry links to one sidecar, to measure the sidecar."""
 
 from __future__ import annotations
 
@@ -17,28 +17,32 @@
 
 
 class FakeEntry:
-    """Attaches and says nothing more than an idle entry does."""
+    """Connects to the sidecar and then behaves like an idle entry."""
 
     def __init__(self, number: int) -> None:
-        """Name this one."""
+        """
+        Create an entry.
+
+        :param number: part of its instance ID.
+        """
         self._number = number
 
     def make_hello(self) -> link_pb2.EntryHello:
-        """Say who this is."""
+        """Create the hello message of this entry."""
         return link_pb2.EntryHello(instance_id=f"entry-{self._number}")
 
     def link_up(self, link: Any, hello: link_pb2.SidecarHello) -> None:
-        """Do nothing."""
+        """Ignore that the link is up."""
 
     def link_message(self, link: Any, message: link_pb2.SidecarMessage) -> None:
-        """Do nothing."""
+        """Ignore a message of the sidecar."""
 
     def link_down(self, link: Any) -> None:
-        """Do nothing."""
+        """Ignore that the link is down."""
 
 
 def main() -> None:
-    """Hold links until killed."""
+    """Keep the links open until the process is killed."""
     key, address, count = sys.argv[1:]
     timers = ReactorTimers(reactor)
     settings = LinkSettings()
--- a/tools/stepsource.py
+++ b/tools/stepsource.py
@@ -1,4 +1,4 @@
-"""Targets that emit tokens at a steady pace over real links, for measuring entries."""
+"""Runs targets that send tokens at a fixed rate over real links, to measure entries."""
 
 from __future__ import annotations
 
@@ -16,40 +16,41 @@
 
 reactor: Any = default_reactor
 
-STEP = 0.03
+# Seconds between two tokens of a stream.
+TOKEN_INTERVAL = 0.03
 
 
 class SteppingTarget:
-    """One target: each step brings a token to each of its streams."""
+    """A target that sends one token to each of its streams per step."""
 
     def __init__(self, target_id: str, data_centre: str) -> None:
-        """Start without streams."""
+        """Create a target without streams."""
         self._target_id = target_id
         self._data_centre = data_centre
         self._streams_by_link: dict[Any, dict[int, list[int]]] = {}
 
     def make_hello(self) -> link_pb2.SidecarHello:
-        """Say who this is."""
+        """Create the hello message of this target."""
         return link_pb2.SidecarHello(
             target_id=self._target_id, data_centre=self._data_centre
         )
 
     def take_due_load(self, link: Any) -> link_pb2.Load | None:
-        """Report load by itself only."""
+        """Return nothing, since load is reported with each heartbeat instead."""
         return None
 
     def link_up(self, link: Any, hello: link_pb2.EntryHello) -> None:
-        """Serve an entry."""
+        """Register the link of an entry and report load to it."""
         self._streams_by_link[link] = {}
-        self.report(link)
+        self.report_load(link)
 
-    def report(self, link: Any) -> None:
-        """Report load."""
+    def report_load(self, link: Any) -> None:
+        """Send a load report over one link."""
         load = link_pb2.Load(accepting=True, slots=1_000)
         link.send(link_pb2.SidecarMessage(load=load))
 
     def link_message(self, link: Any, message: link_pb2.EntryMessage) -> None:
-        """Start or stop a stream."""
+        """Start or cancel a stream."""
         kind = message.WhichOneof("body")
         if kind == "submit":
             submit = message.submit
@@ -59,11 +60,11 @@
             self._streams_by_link[link].pop(message.cancel.attempt_id, None)
 
     def link_down(self, link: Any) -> None:
-        """Forget an entry."""
+        """Drop the streams of a closed link."""
         self._streams_by_link.pop(link, None)
 
-    def step(self) -> None:
-        """Emit a token for each stream."""
+    def send_tokens(self) -> None:
+        """Send the next token of each stream and finish those that are complete."""
         for link, streams in self._streams_by_link.items():
             for attempt_id, progress in list(streams.items()):
                 offset = progress[0]
@@ -76,16 +77,24 @@
                     event.finish.CopyFrom(link_pb2.Finish(outcome=link_pb2.COMPLETE))
                 link.send_event(event)
 
-    def beat(self) -> None:
-        """Report load to all."""
+    def send_heartbeat(self) -> None:
+        """Report load over all links."""
         for link in self._streams_by_link:
-            self.report(link)
+            self.report_load(link)
 
 
 def serve(
     key: str, prefix: str, data_centre: str, heartbeat: float, addresses: list[str]
 ) -> None:
-    """Serve a target on each address until killed."""
+    """
+    Serve one target on each address until the process is killed.
+
+    The targets start at different times, so that they do not all send at once.
+
+    :param key: shared key of the links.
+    :param prefix: of the target IDs.
+    :param heartbeat: seconds between two load reports.
+    """
     timers = ReactorTimers(reactor)
     for number, address in enumerate(addresses):
         target = SteppingTarget(f"{prefix}-{number}", data_centre)
@@ -93,10 +102,14 @@
         server = LinkServer(reactor, key, LinkSettings(), target, timers, log)
         if not server.start(address):
             sys.exit(f"{address} is taken")
-        spread = number / len(addresses)
-        timers.call_later(STEP * spread, partial(Repeater, timers, STEP, target.step))
+        phase = number / len(addresses)
+        timers.call_later(
+            TOKEN_INTERVAL * phase,
+            partial(Repeater, timers, TOKEN_INTERVAL, target.send_tokens),
+        )
         timers.call_later(
-            heartbeat * spread, partial(Repeater, timers, heartbeat, target.beat)
+            heartbeat * phase,
+            partial(Repeater, timers, heartbeat, target.send_heartbeat),
         )
     print("ready", flush=True)
     reactor.run()
