--- a/tools/replay.py
+++ b/tools/replay.py
@@ -1,4 +1,8 @@
-"""Replays load patterns in virtual time against the gateways' own decisions."""
+"""
+Simulates load patterns in virtual time with the real scheduling code of the gateways.
+
+The engines, the links and the network between gateways are modelled.
+"""
 
 from __future__ import annotations
 
@@ -40,18 +44,18 @@
 
 LOADS = Path(__file__).parent.parent / "tests" / "loads"
 SERVICE = "model"
-# Seconds until the entry of an engine that crashed is taken off the list: three of its
-# heartbeats.
-LAPSE = 3.6
-# Seconds from the begin of an answer until the engine that it crashes has ended.
-CRASH_AFTER = 0.04
-# Seconds that a datagram takes from one gateway to another.
-NEWS_DELAY = 0.0015
-# Seconds between two tellings of answers under way.
-COUNTS_INTERVAL = 0.2
-# Seconds after the last request until a replay ends.
-AFTERMATH = 8.0
-# Settings under which a prompt is sent on at once and never turned away.
+# Seconds after a crash until the gateways remove the engine from their fleet: three of
+# its heartbeats.
+TARGET_EXPIRY = 3.6
+# Seconds from the start of a fatal answer until its engine crashes.
+CRASH_DELAY = 0.04
+# Network delay in seconds of a datagram between two gateways.
+DATAGRAM_DELAY = 0.0015
+# Seconds between two broadcasts of the requests in flight.
+IN_FLIGHT_INTERVAL = 0.2
+# Seconds that a replay continues after requests have stopped arriving.
+DRAIN_TIME = 8.0
+# A value for placement settings that dispatches prompts at once and refuses none.
 UNBOUNDED = 1e6
 
 
@@ -59,17 +63,17 @@
     """
     One kind of request.
 
-    :ivar rate: a second, outside of bursts.
-    :ivar shared: tokens of the part that requests of one topic share.
-    :ivar topics: how many such parts there are.
-    :ivar own: mean tokens of a request's own part.
-    :ivar output: tokens of its answer.
-    :ivar latency_target: seconds until its first token.
-    :ivar patience: seconds that its caller waits.
-    :ivar worth: of an answer on time.
-    :ivar late: of a late one.
-    :ivar token_bytes: that a prompt has for each of its tokens.
-    :ivar alike: how many different requests there are; 0 if no two are alike.
+    :ivar rate: requests a second, outside of bursts.
+    :ivar shared: tokens of the prompt part that all requests of one topic share.
+    :ivar topics: number of topics, each with its own shared part.
+    :ivar own: mean tokens of the prompt part that is unique to a request.
+    :ivar output: tokens of the answer.
+    :ivar latency_target: seconds until the first token is due.
+    :ivar patience: seconds after which the caller gives up.
+    :ivar worth: value of an answer on time, per unit of request size.
+    :ivar late: value of a late answer, per unit of request size.
+    :ivar token_bytes: bytes of a prompt per token.
+    :ivar alike: number of distinct requests; 0 if all differ.
     """
 
     rate: float
@@ -86,7 +90,13 @@
 
 
 class Burst(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A kind that comes several times as often for a while, in seconds."""
+    """
+    A period with a higher rate of one kind of request.
+
+    :ivar begins: seconds from the start.
+    :ivar ends: seconds from the start.
+    :ivar times: factor by which the rate is multiplied.
+    """
 
     kind: str
     begins: float
@@ -96,13 +106,13 @@
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """
-    Trouble of engines.
+    A crash or a slowdown of several engines.
 
     :ivar at: seconds from the start.
-    :ivar engines: how many of the list.
-    :ivar speed: share of their speed that is left; 0 is a crash.
-    :ivar first: number of the first of them.
-    :ivar returns: seconds after a crash until they start again; 0 if they do not.
+    :ivar engines: number of affected engines.
+    :ivar speed: remaining share of their speed; 0 is a crash.
+    :ivar first: index of the first affected engine.
+    :ivar returns: seconds after a crash until they restart; 0 if they do not.
     """
 
     at: float
@@ -114,12 +124,14 @@
 
 class Fatal(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """
-    Requests that crash each engine that begins to write their answer.
-
-    :ivar kind: that they look like.
-    :ivar requests: how many different ones.
-    :ivar every: seconds between two askings of one of them.
-    :ivar returns: seconds after its crash until an engine starts again.
+    Requests that crash each engine that starts to decode their answer.
+
+    :ivar kind: kind of request that they resemble.
+    :ivar requests: number of distinct fatal requests.
+    :ivar begins: seconds from the start.
+    :ivar ends: seconds from the start.
+    :ivar every: mean seconds between two attempts of the same request.
+    :ivar returns: seconds after its crash until an engine restarts.
     """
 
     kind: str
@@ -134,11 +146,15 @@
     """
     A load pattern over a fleet.
 
-    :ivar why: what the pattern is meant to bring out.
-    :ivar lasts: seconds in which requests come.
-    :ivar news_lost: share of what gateways tell each other that does not arrive.
-    :ivar resumes: whether a gateway sends what broke off to a second engine.
-    :ivar links: megabits a second of the gateways' links, in turn; 0 is without bound.
+    :ivar why: behaviour that the pattern is meant to show.
+    :ivar gateways: number of gateways.
+    :ivar readers: number of prefill engines.
+    :ivar writers: number of decode engines.
+    :ivar lasts: seconds during which requests arrive.
+    :ivar resumes: whether a gateway retries an interrupted request once.
+    :ivar links: megabits a second of the gateways' links, assigned round robin; 0 is
+        unlimited.
+    :ivar news_lost: share of the messages between gateways that are lost.
     """
 
     why: str
@@ -158,10 +174,15 @@
 
 class Request(NamedTuple):
     """
-    One request of a caller, with the parts of its prompt.
-
-    :ivar returns: seconds until an engine that it crashes starts again; ``None`` for
-        one that crashes none.
+    One request of a caller.
+
+    :ivar number: identifies the request; negative for a fatal request.
+    :ivar at: arrival in seconds from the start.
+    :ivar parts: the parts of its prompt.
+    :ivar size: value of the request under the request value model.
+    :ivar fingerprint: equal for requests with the same content.
+    :ivar returns: seconds until an engine that it crashes restarts; ``None`` for a
+        request that crashes none.
     """
 
     kind: str
@@ -175,17 +196,17 @@
 
 class Figures(NamedTuple):
     """
-    What came of a load.
-
-    :ivar worth: share of the worth owed that was earned.
-    :ivar worth_by_kind: the same, by kind.
-    :ivar large_served: share of the largest tenth that was answered.
-    :ivar refused: share of requests that ended refused.
-    :ivar failed: share that ended unanswered otherwise.
-    :ivar reread: tokens of prompts read beyond what one engine would need.
-    :ivar crashed: engines that a request crashed.
-    :ivar mistaken: share of the requests that crash none and were turned away, once at
-        least, as if they might.
+    The results of a replay.
+
+    :ivar worth: value of the answers as a share of the greatest possible value.
+    :ivar worth_by_kind: the same, by kind of request.
+    :ivar large_served: share of the largest tenth of requests that was answered.
+    :ivar refused: share of requests that were refused in the end.
+    :ivar failed: share of requests that went unanswered for another reason.
+    :ivar reread: prompt tokens prefilled beyond what a single engine would need.
+    :ivar crashed: engine crashes caused by requests.
+    :ivar mistaken: share of requests that crash no engine but were quarantined at
+        least once.
     """
 
     worth: float
@@ -198,33 +219,33 @@
     mistaken: float
 
 
-def requests_of(load: Load, seed: int) -> list[Request]:
-    """Draw the requests of a load, in order of time."""
+def generate_requests(load: Load, seed: int) -> list[Request]:
+    """Generate the ordinary requests of a load, ordered by arrival."""
     random = Random(seed)
-    found: list[Request] = []
+    requests: list[Request] = []
     for kind_number, (name, kind) in enumerate(load.kinds.items()):
         scale = RequestValueModel()
         at = random.expovariate(kind.rate)
         while at < load.lasts:
             topic = random.randrange(kind.topics)
             own = max(1, int(kind.own * random.lognormvariate(-0.125, 0.5)))
-            number = len(found) + 1
+            number = len(requests) + 1
             parts = (
                 PromptPart((kind_number + 1) * 1_000_000 + topic, kind.shared),
                 PromptPart(10_000_000 + number, own),
             )
             size = scale.value(name, kind.shared + own, kind.output)
-            asked = random.randrange(kind.alike) if kind.alike else number
-            fingerprint = f"{kind_number:016x}{asked:016x}"
-            found.append(Request(name, number, at, parts, size, fingerprint))
-            at += random.expovariate(kind.rate * _times(load, name, at))
-    return sorted(found, key=lambda request: request.at)
+            content = random.randrange(kind.alike) if kind.alike else number
+            fingerprint = f"{kind_number:016x}{content:016x}"
+            requests.append(Request(name, number, at, parts, size, fingerprint))
+            at += random.expovariate(kind.rate * _rate_multiplier(load, name, at))
+    return sorted(requests, key=lambda request: request.at)
 
 
-def fatal_requests_of(load: Load, seed: int) -> list[Request]:
-    """Draw the askings of a load's fatal requests."""
+def generate_fatal_requests(load: Load, seed: int) -> list[Request]:
+    """Generate all attempts of the fatal requests of a load."""
     random = Random(seed)
-    found = []
+    requests = []
     for pattern, fatal in enumerate(load.fatal):
         kind = load.kinds[fatal.kind]
         for index in range(fatal.requests):
@@ -233,7 +254,7 @@
             fingerprint = f"{'f' * 16}{-number:016x}"
             at = fatal.begins + random.uniform(0.0, fatal.every)
             while at < fatal.ends:
-                found.append(
+                requests.append(
                     Request(
                         fatal.kind,
                         number,
@@ -245,75 +266,76 @@
                     )
                 )
                 at += random.uniform(0.5, 1.5) * fatal.every
-    return found
+    return requests
 
 
-def _times(load: Load, kind: str, at: float) -> float:
-    times = [
+def _rate_multiplier(load: Load, kind: str, at: float) -> float:
+    multipliers = [
         burst.times
         for burst in load.bursts
         if burst.kind == kind and burst.begins <= at < burst.ends
     ]
-    return max(times, default=1.0)
+    return max(multipliers, default=1.0)
 
 
 class QuietLog(Log):
-    """Writes nothing."""
+    """A log that discards all events."""
 
     def write(self, event: LogEvent, **fields: object) -> None:
-        """Drop the event."""
+        """Discard the event."""
 
 
-Hearer = Callable[[str, Message], None]
+MessageHandler = Callable[[str, Message], None]
 
 
-class Wire:
-    """Carries what gateways tell each other."""
+class PeerNetwork:
+    """Models the network that carries messages between gateways."""
 
-    def __init__(self, timers: ManualTimers, is_up: bool, lost: float) -> None:
+    def __init__(self, timers: ManualTimers, is_up: bool, loss_rate: float) -> None:
         """
-        Start without gateways.
+        Create a network without gateways.
 
-        :param is_up: whether anything arrives.
-        :param lost: share of the messages that does not arrive.
+        :param is_up: whether messages are delivered at all.
+        :param loss_rate: share of the messages that are lost.
         """
-        self._lost = lost
+        self._loss_rate = loss_rate
         self._random = Random(0)
         self._timers = timers
         self._is_up = is_up
-        self.hearers_by_gateway: dict[str, Hearer] = {}
+        self.handlers_by_gateway: dict[str, MessageHandler] = {}
 
     def broadcast(self, sender: str, message: Message) -> None:
-        """Carry a message to all other gateways."""
+        """Deliver a message to all other gateways, except where it is lost."""
         if not self._is_up:
             return
-        for name, hear in self.hearers_by_gateway.items():
-            if name != sender and self._random.random() >= self._lost:
-                arrive = partial(hear, sender, message)
-                self._timers.call_later(NEWS_DELAY, arrive)
+        for name, handler in self.handlers_by_gateway.items():
+            if name != sender and self._random.random() >= self._loss_rate:
+                deliver = partial(handler, sender, message)
+                self._timers.call_later(DATAGRAM_DELAY, deliver)
 
 
 class Policy(NamedTuple):
     """
-    How a gateway decides.
-
-    :ivar placer: chooses engines.
-    :ivar tells: whether gateways tell each other what they send.
-    :ivar tells_open: whether they tell which readings have not ended.
-    :ivar knows_link: whether a gateway knows how long prompts take to leave it.
-    :ivar suspects: whether requests are suspected of crashing engines.
+    How a gateway schedules requests.
+
+    :ivar placer: class that chooses engines.
+    :ivar peers_connected: whether gateways receive each other's messages.
+    :ivar knows_egress_delay: whether placement accounts for the time that a prompt
+        takes to leave over the gateway's link.
+    :ivar shares_open_prefills: whether gateways broadcast their unfinished prefills.
+    :ivar suspects: whether requests suspected of crashing engines are held back.
     """
 
     settings: PlacementSettings
     placer: type[Placer] = Placer
-    tells: bool = True
-    knows_link: bool = True
-    tells_open: bool = True
+    peers_connected: bool = True
+    knows_egress_delay: bool = True
+    shares_open_prefills: bool = True
     suspects: bool = True
 
 
-class _Straight(Placer):
-    """Sends each prompt to an engine without regard to parts or backlog."""
+class _BaselinePlacer(Placer):
+    """Dispatches each prompt without regard to cached parts or backlog."""
 
     def choose_placement(self, prompt: WaitingPrompt, now: float) -> Placement | None:
         engines = self._fleet.usable(prompt.service, now)
@@ -335,115 +357,123 @@
         )
 
     def pick(self, engines: list[TargetEstimate]) -> TargetEstimate:
-        """Choose one."""
+        """Choose one of the usable engines."""
         raise NotImplementedError
 
 
-class RoundRobin(_Straight):
-    """Baseline: engines in turn."""
+class RoundRobin(_BaselinePlacer):
+    """Baseline that cycles through the engines."""
 
     _turn = 0
 
     def pick(self, engines: list[TargetEstimate]) -> TargetEstimate:
-        """Choose the next one."""
+        """Choose the next engine."""
         self._turn += 1
         return engines[self._turn % len(engines)]
 
 
-class LeastInFlight(_Straight):
-    """Baseline: the engine with the fewest requests under way."""
+class LeastInFlight(_BaselinePlacer):
+    """Baseline that prefers the engine with the fewest requests in flight."""
 
     def pick(self, engines: list[TargetEstimate]) -> TargetEstimate:
-        """Choose the idlest."""
+        """Choose the least loaded engine."""
         return min(
             engines, key=lambda engine: engine.load() + len(engine.prefills_by_ticket)
         )
 
 
-_SENT_ON = PlacementSettings(depth=UNBOUNDED, late_factor=UNBOUNDED)
+_IMMEDIATE_DISPATCH = PlacementSettings(depth=UNBOUNDED, late_factor=UNBOUNDED)
 
 POLICIES = {
     "current": Policy(PlacementSettings()),
-    "round robin": Policy(_SENT_ON, RoundRobin),
-    "least in flight": Policy(_SENT_ON, LeastInFlight),
+    "round robin": Policy(_IMMEDIATE_DISPATCH, RoundRobin),
+    "least in flight": Policy(_IMMEDIATE_DISPATCH, LeastInFlight),
     "nothing waits": Policy(PlacementSettings(depth=UNBOUNDED)),
     "nothing refused": Policy(PlacementSettings(late_factor=UNBOUNDED)),
     "no price on engine time": Policy(PlacementSettings(duplicate_cost=0.0)),
-    "gateways tell nothing": Policy(PlacementSettings(), tells=False),
-    "open readings untold": Policy(PlacementSettings(), tells_open=False),
-    "links unknown": Policy(PlacementSettings(), knows_link=False),
+    "gateways tell nothing": Policy(PlacementSettings(), peers_connected=False),
+    "open readings untold": Policy(PlacementSettings(), shares_open_prefills=False),
+    "links unknown": Policy(PlacementSettings(), knows_egress_delay=False),
     "nothing suspected": Policy(PlacementSettings(), suspects=False),
 }
 
 
 class ModelGateway:
-    """One gateway's decisions, with modelled engines behind them."""
+    """The scheduling code of one gateway in front of modelled engines."""
 
     def __init__(
         self, name: str, policy: Policy, replay: Replay, megabits_per_second: float
     ) -> None:
         """
-        Put the decisions together.
+        Set up the gateway and connect it to the network.
 
-        :param megabits_per_second: a second that its link carries; 0 is without bound.
+        :param megabits_per_second: bandwidth of its link; 0 is unlimited.
         """
         self._name = name
         self._replay = replay
-        self._tells_open = policy.tells_open
+        self._shares_open_prefills = policy.shares_open_prefills
         timers = replay.timers
         self.fleet = Fleet(policy.settings, EjectionSettings(), Random(name))
         figures = replay.load.engine
         model = EngineModel(figures.cache_tokens, 3.0, figures.copy_rate)
         self.fleet.set_models({SERVICE: model})
         for engine in replay.engines_by_name.values():
-            self.fleet.put(_listed(engine))
+            self.fleet.put(_make_target(engine))
         self._egress_queue = EgressQueue(megabits_per_second, timers)
         gateway_delay = GatewayDelay()
-        known = self._egress_queue if policy.knows_link else EgressQueue(0.0, timers)
+        placement_egress_queue = (
+            self._egress_queue
+            if policy.knows_egress_delay
+            else EgressQueue(0.0, timers)
+        )
         self.placer = policy.placer(
-            policy.settings, self.fleet, "here", known, gateway_delay
+            policy.settings, self.fleet, "here", placement_egress_queue, gateway_delay
         )
         self._queue = queue = PrefillQueue(policy.settings, self.placer)
         self.prefill_scheduler = PrefillScheduler(
             queue, self, timers, QuietLog(), name, gateway_delay
         )
-        self._book = PeerUpdates(self.fleet)
+        self._peer_updates = PeerUpdates(self.fleet)
         self._suspects = SuspectTracker(Random(name))
         self.crashes = CrashReports(self._suspects, self, timers, QuietLog())
-        self._is_suspecting = policy.suspects
-        replay.wire.hearers_by_gateway[name] = self._hear
-        Repeater(timers, COUNTS_INTERVAL, self._tell_counts)
+        self._holds_back_suspects = policy.suspects
+        replay.peer_network.handlers_by_gateway[name] = self._receive
+        Repeater(timers, IN_FLIGHT_INTERVAL, self._broadcast_in_flight)
 
-    def _hear(self, sender: str, message: Message) -> None:
+    def _receive(self, sender: str, message: Message) -> None:
         if isinstance(message, SuspectMessage):
             self.crashes.receive(message, "peer")
             return
         if not isinstance(message, LoadMessage):
             return
-        self._book.apply(sender, message, self._replay.timers.now())
+        self._peer_updates.apply(sender, message, self._replay.timers.now())
         if isinstance(message, PrefillStarted | PrefillEnded):
             self.prefill_scheduler.dispatch_waiting()
 
     async def _admit(self, request: Request, request_id: str) -> None:
-        if self._is_suspecting:
-            asked = _asked(request, request_id, self._replay.timers.now())
-            await self.crashes.admit(asked)
+        if self._holds_back_suspects:
+            caller_request = _make_caller_request(
+                request, request_id, self._replay.timers.now()
+            )
+            await self.crashes.admit(caller_request)
 
-    def _broke(
+    def _report_interruption(
         self, request: Request, request_id: str, estimate: TargetEstimate
     ) -> None:
-        """Find out at once whether an engine that broke a request off has crashed."""
-        asked = _asked(request, request_id, self._replay.timers.now())
-        self.crashes.cut_off(asked, estimate)
+        """Report an interrupted request, and a crash if its engine has crashed."""
+        caller_request = _make_caller_request(
+            request, request_id, self._replay.timers.now()
+        )
+        self.crashes.cut_off(caller_request, estimate)
         engine = self._replay.engine(estimate)
         if engine.is_lost:
             self.crashes.target_ended(estimate.target, "nothing listens")
 
     def broadcast(self, message: Message) -> None:
-        """Tell all other gateways."""
-        self._replay.wire.broadcast(self._name, message)
+        """Send a message to all other gateways."""
+        self._replay.peer_network.broadcast(self._name, message)
 
-    def _tell_counts(self) -> None:
+    def _broadcast_in_flight(self) -> None:
         counts = {
             name: estimate.in_flight
             for name, estimate in self.fleet.targets_by_id.items()
@@ -451,25 +481,25 @@
         }
         waiting = self._queue.queued_work_by_service()
         self.broadcast(InFlight(self._name, counts, True, waiting))
-        if self._tells_open:
+        if self._shares_open_prefills:
             self.broadcast(self.prefill_scheduler.open_prefills())
 
     async def serve(self, request: Request, kind: Kind, due_at: float) -> float:
         """
-        Have a request answered.
+        Serve a request, with a second attempt if the load allows it.
 
-        :returns: when its first token was out.
-        :raises Failure: if it was refused or its engine crashed.
+        :returns: virtual time of the first token, in seconds.
+        :raises Failure: if the request was refused or its engine crashed.
         """
         request_id = f"{request.number}-{self._replay.timers.now()}"
         try:
-            return await self._try(request, request_id, kind, due_at)
+            return await self._serve_once(request, request_id, kind, due_at)
         except Failure as failure:
             if not failure.ran or not self._replay.load.resumes:
                 raise
-        return await self._try(request, request_id, kind, due_at)
+        return await self._serve_once(request, request_id, kind, due_at)
 
-    async def _try(
+    async def _serve_once(
         self, request: Request, request_id: str, kind: Kind, due_at: float
     ) -> float:
         now = self._replay.timers.now()
@@ -490,53 +520,57 @@
         placement = ticket.placement
         is_good = False
         try:
-            reader = self._replay.engine(placement.estimate)
+            prefill_engine = self._replay.engine(placement.estimate)
             source = self._replay.engine_at(placement.copy_from)
             await self._send(prompt.body_bytes)
-            reading = reader.read(request.parts, source)
-            await self._on(request, request_id, placement.estimate, reading)
+            prefill = prefill_engine.read(request.parts, source)
+            await self._run_on_engine(request, request_id, placement.estimate, prefill)
             is_good = True
         finally:
             self.prefill_scheduler.end(ticket, is_good)
-        writer = placement.estimate
+        decode_engine = placement.estimate
         if placement.is_prefill_only:
             await self._send(prompt.body_bytes)
-            writer = await self._hand_over(request, request_id, writer)
+            decode_engine = await self._hand_over(request, request_id, decode_engine)
         await self._admit(request, request_id)
-        engine = self._replay.engine(writer)
+        engine = self._replay.engine(decode_engine)
         if request.returns is not None:
-            self._replay.crash_soon(engine, request.returns)
-        await self._on(request, request_id, writer, engine.write(1))
-        first_at = self._replay.timers.now()
-        await self._on(request, request_id, writer, engine.write(kind.output - 1))
-        self.crashes.request_succeeded(_asked(request, request_id, first_at))
-        return first_at
+            self._replay.schedule_crash(engine, request.returns)
+        await self._run_on_engine(request, request_id, decode_engine, engine.write(1))
+        first_token_at = self._replay.timers.now()
+        await self._run_on_engine(
+            request, request_id, decode_engine, engine.write(kind.output - 1)
+        )
+        self.crashes.request_succeeded(
+            _make_caller_request(request, request_id, first_token_at)
+        )
+        return first_token_at
 
     def _body_bytes(self, request: Request, kind: Kind) -> int:
         tokens = sum(part.tokens for part in request.parts)
         return int(tokens * kind.token_bytes)
 
     async def _send(self, size: int) -> None:
-        """Let a prompt leave over this gateway's link."""
+        """Wait while a prompt leaves over this gateway's link."""
         delay = self._egress_queue.delay(size)
         self._egress_queue.record_sent(size)
         if delay:
             await pause(self._replay.timers, delay)
 
     async def _hand_over(
-        self, request: Request, request_id: str, reader: TargetEstimate
+        self, request: Request, request_id: str, prefill_engine: TargetEstimate
     ) -> TargetEstimate:
         now = self._replay.timers.now()
-        near = reader.target.data_centre
-        writer = self.placer.choose_decode_engine(SERVICE, near, now)
-        if writer is None:
+        near = prefill_engine.target.data_centre
+        decode_engine = self.placer.choose_decode_engine(SERVICE, near, now)
+        if decode_engine is None:
             raise Failure("no engine writes")
-        fetching = self._replay.engine(writer).fetch(request.parts)
-        await self._on(request, request_id, writer, fetching)
-        writer.fetched(request.parts)
-        return writer
+        fetching = self._replay.engine(decode_engine).fetch(request.parts)
+        await self._run_on_engine(request, request_id, decode_engine, fetching)
+        decode_engine.fetched(request.parts)
+        return decode_engine
 
-    async def _on(
+    async def _run_on_engine(
         self,
         request: Request,
         request_id: str,
@@ -549,13 +583,13 @@
         except Failure as failure:
             self.fleet.failed(estimate, self._replay.timers.now())
             if failure.ran:
-                self._broke(request, request_id, estimate)
+                self._report_interruption(request, request_id, estimate)
             raise
         finally:
             estimate.in_flight -= 1
 
 
-def _listed(engine: ModelEngine) -> Target:
+def _make_target(engine: ModelEngine) -> Target:
     return Target(
         target_id=engine.name,
         service=SERVICE,
@@ -568,8 +602,10 @@
     )
 
 
-def _asked(request: Request, request_id: str, now: float) -> CallerRequest:
-    """Tell of a request what suspicion needs to know."""
+def _make_caller_request(
+    request: Request, request_id: str, now: float
+) -> CallerRequest:
+    """Build the part of a caller's request that crash tracking needs."""
     http = HttpRequest(b"POST", b"/", ())
     return CallerRequest(
         request_id, http, "", "/", now, None, fingerprint=request.fingerprint
@@ -577,17 +613,19 @@
 
 
 class Replay:
-    """One load, played once under one policy."""
+    """One run of a load under one policy."""
 
     def __init__(self, load: Load, policy: Policy, seed: int) -> None:
         """
-        Set the fleet up.
+        Set up the engines, the gateways and the requests.
 
-        :param seed: of the requests.
+        :param seed: for the requests and the choice of gateways.
         """
         self.load = load
         self.timers = ManualTimers()
-        self.wire = Wire(self.timers, policy.tells, load.news_lost)
+        self.peer_network = PeerNetwork(
+            self.timers, policy.peers_connected, load.news_lost
+        )
         roles = [EngineRole.PREFILL] * load.readers + [EngineRole.DECODE] * load.writers
         self.engines_by_name = {
             f"e{number}": ModelEngine(f"e{number}", role, load.engine, self.timers)
@@ -599,35 +637,35 @@
             )
             for number in range(load.gateways)
         ]
-        self._requests = requests_of(load, seed)
+        self._requests = generate_requests(load, seed)
         self._random = Random(seed)
-        self._fatal_requests = fatal_requests_of(load, seed)
+        self._fatal_requests = generate_fatal_requests(load, seed)
         self._crashed = 0
-        self._mistaken: set[int] = set()
-        self._first_at: dict[int, float] = {}
+        self._wrongly_quarantined: set[int] = set()
+        self._first_token_at: dict[int, float] = {}
         self._failures: dict[int, Failure] = {}
 
     def engine(self, estimate: TargetEstimate) -> ModelEngine:
-        """Find the engine that a gateway believes in."""
+        """Return the engine that a gateway's estimate refers to."""
         return self.engines_by_name[estimate.target.target_id]
 
     def engine_at(self, address: str) -> ModelEngine | None:
-        """Find an engine by its address; ``None`` for an empty one."""
+        """Return the engine at an address, or ``None`` if there is none."""
         return self.engines_by_name.get(address)
 
     def run(self) -> Figures:
-        """Play the load to its end."""
+        """Run the load to its end."""
         for request in self._requests:
-            self.timers.call_later(request.at, partial(self.ask, request))
+            self.timers.call_later(request.at, partial(self.submit, request))
         for request in self._fatal_requests:
-            self.timers.call_later(request.at, partial(self.ask, request))
+            self.timers.call_later(request.at, partial(self.submit, request))
         for fault in self.load.faults:
-            self.timers.call_later(fault.at, partial(self.strike, fault))
-        self.timers.advance(self.load.lasts + AFTERMATH)
+            self.timers.call_later(fault.at, partial(self.apply_fault, fault))
+        self.timers.advance(self.load.lasts + DRAIN_TIME)
         return self._figures()
 
-    def strike(self, fault: Fault) -> None:
-        """Let a fault begin."""
+    def apply_fault(self, fault: Fault) -> None:
+        """Crash or slow down the engines of a fault."""
         engines = list(self.engines_by_name.values())
         for engine in engines[fault.first : fault.first + fault.engines]:
             if fault.speed == 0:
@@ -635,8 +673,8 @@
             else:
                 engine.speed = fault.speed
 
-    def crash_soon(self, engine: ModelEngine, returns: float) -> None:
-        """Let an engine crash by what it has just begun to write."""
+    def schedule_crash(self, engine: ModelEngine, returns: float) -> None:
+        """Schedule the crash of an engine that has started a fatal answer."""
 
         def crash() -> None:
             if not engine.is_lost and engine.born == born:
@@ -644,56 +682,63 @@
                 self._crash(engine, returns)
 
         born = engine.born
-        self.timers.call_later(CRASH_AFTER, crash)
+        self.timers.call_later(CRASH_DELAY, crash)
 
     def _crash(self, engine: ModelEngine, returns: float) -> None:
         if engine.is_lost:
             return
         engine.lose()
-        self.timers.call_later(LAPSE, partial(self._lapse, engine, engine.born))
+        self.timers.call_later(
+            TARGET_EXPIRY, partial(self._remove_target, engine, engine.born)
+        )
         if returns:
-            self.timers.call_later(returns, partial(self._return, engine))
+            self.timers.call_later(returns, partial(self._restart_engine, engine))
 
-    def _lapse(self, engine: ModelEngine, born: int) -> None:
+    def _remove_target(self, engine: ModelEngine, born: int) -> None:
         if engine.born != born:
             return
         for gateway in self._gateways:
             gateway.fleet.remove(engine.name)
 
-    def _return(self, engine: ModelEngine) -> None:
+    def _restart_engine(self, engine: ModelEngine) -> None:
         engine.start_again()
         for gateway in self._gateways:
-            gateway.fleet.put(_listed(engine))
+            gateway.fleet.put(_make_target(engine))
             gateway.prefill_scheduler.dispatch_waiting()
 
-    def ask(self, request: Request) -> None:
-        """Let a caller ask."""
-        asking = Deferred.fromCoroutine(self._ask(request))
-        asking.addErrback(lambda failure: failure.trap(Failure, TimeoutError))
+    def submit(self, request: Request) -> None:
+        """Submit a request as its caller would."""
+        submission = Deferred.fromCoroutine(self._submit(request))
+        submission.addErrback(lambda failure: failure.trap(Failure, TimeoutError))
 
-    async def _ask(self, request: Request) -> None:
-        """Ask, and once more if refused: as told, within a third of the time left."""
+    async def _submit(self, request: Request) -> None:
+        """
+        Submit a request, and retry it once if it fails.
+
+        The retry waits as long as the gateway asked for, but at most a third of the
+        time left.
+        """
         kind = self.load.kinds[request.kind]
         due_at = request.at + kind.patience
         for tries_left in (1, 0):
-            left = due_at - self.timers.now()
+            time_left = due_at - self.timers.now()
             gateway = self._random.choice(self._gateways)
             serving = gateway.serve(request, kind, due_at)
             try:
-                first_at = await with_timeout(self.timers, left, serving)
+                first_token_at = await with_timeout(self.timers, time_left, serving)
             except TimeoutError:
                 self._failures[request.number] = Failure("its time was over")
                 return
             except Failure as failure:
                 self._failures[request.number] = failure
                 if isinstance(failure, Quarantined) and request.returns is None:
-                    self._mistaken.add(request.number)
+                    self._wrongly_quarantined.add(request.number)
                 if tries_left:
-                    told = failure.retry_after or DEFAULT_RETRY_AFTER
-                    left = due_at - self.timers.now()
-                    await pause(self.timers, min(told, left / 3))
+                    retry_delay = failure.retry_after or DEFAULT_RETRY_AFTER
+                    time_left = due_at - self.timers.now()
+                    await pause(self.timers, min(retry_delay, time_left / 3))
             else:
-                self._first_at[request.number] = first_at
+                self._first_token_at[request.number] = first_token_at
                 return
 
     def _figures(self) -> Figures:
@@ -702,14 +747,16 @@
         for request in self._requests:
             kind = self.load.kinds[request.kind]
             owed[request.kind] += request.size * kind.worth
-            earned[request.kind] += request.size * self._worth(request, kind)
+            earned[request.kind] += request.size * self._earned_value(request, kind)
         by_size = sorted(self._requests, key=lambda request: -request.size)
         large = by_size[: max(1, len(by_size) // 10)]
-        served = [request for request in large if request.number in self._first_at]
+        served = [
+            request for request in large if request.number in self._first_token_at
+        ]
         unserved = [
             self._failures.get(request.number)
             for request in self._requests
-            if request.number not in self._first_at
+            if request.number not in self._first_token_at
         ]
         refused = [item for item in unserved if item is not None and item.retry_after]
         return Figures(
@@ -718,19 +765,19 @@
             large_served=len(served) / len(large),
             refused=len(refused) / len(self._requests),
             failed=(len(unserved) - len(refused)) / len(self._requests),
-            reread=self._reread(),
+            reread=self._repeated_prefill_tokens(),
             crashed=self._crashed,
-            mistaken=len(self._mistaken) / len(self._requests),
+            mistaken=len(self._wrongly_quarantined) / len(self._requests),
         )
 
-    def _worth(self, request: Request, kind: Kind) -> float:
-        first_at = self._first_at.get(request.number)
-        if first_at is None:
+    def _earned_value(self, request: Request, kind: Kind) -> float:
+        first_token_at = self._first_token_at.get(request.number)
+        if first_token_at is None:
             return 0.0
-        is_late = first_at > request.at + kind.latency_target
+        is_late = first_token_at > request.at + kind.latency_target
         return kind.late if is_late else kind.worth
 
-    def _reread(self) -> int:
+    def _repeated_prefill_tokens(self) -> int:
         needed: dict[int, int] = {}
         for request in self._requests:
             needed.update((part.part_id, part.tokens) for part in request.parts)
@@ -739,29 +786,29 @@
 
 
 def read_load(name: str) -> Load:
-    """Read a load pattern by its name."""
+    """Read a load pattern from its file."""
     return msgspec.json.decode((LOADS / f"{name}.json").read_bytes(), type=Load)
 
 
 def replay(load: Load, policy: str, seed: int = 1) -> Figures:
-    """Play a load under a policy of :data:`POLICIES`."""
+    """Run a load under a policy of :data:`POLICIES`."""
     return Replay(load, POLICIES[policy], seed).run()
 
 
 def main() -> None:
-    """Play all loads under all policies and print what came of them."""
+    """Run all loads under all policies and print the results."""
     for path in sorted(LOADS.rglob("*.json")):
         name = str(path.relative_to(LOADS).with_suffix(""))
         load = read_load(name)
         print(f"{name}: {load.why}")
         for policy in POLICIES:
-            found = replay(load, policy)
-            kinds = " ".join(f"{worth:.2f}" for worth in found.worth_by_kind.values())
+            figures = replay(load, policy)
+            kinds = " ".join(f"{worth:.2f}" for worth in figures.worth_by_kind.values())
             print(
-                f"  {policy:24} worth {found.worth:.3f} ({kinds}) "
-                f"largest {found.large_served:.2f} refused {found.refused:.3f} "
-                f"failed {found.failed:.3f} read again {found.reread // 1000}k "
-                f"crashed {found.crashed} mistaken {found.mistaken:.4f}"
+                f"  {policy:24} worth {figures.worth:.3f} ({kinds}) "
+                f"largest {figures.large_served:.2f} refused {figures.refused:.3f} "
+                f"failed {figures.failed:.3f} read again {figures.reread // 1000}k "
+                f"crashed {figures.crashed} mistaken {figures.mistaken:.4f}"
             )
 
 
