--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,4 +1,4 @@
-"""Entries and sidecars in virtual time: small fakes at their ports."""
+"""Fakes of the ports of entries and sidecars, for tests in virtual time."""
 
 import json
 from collections import Counter
@@ -25,42 +25,44 @@
 from pimentolink.timers import ManualTimers
 from standins.engine import token_at
 
-LATENCY = 0.001
-LIST_LAG = 2.0
-STORE_TIMEOUT = 0.5
+LATENCY_SECONDS = 0.001
+LIST_LAG_SECONDS = 2.0
+STORE_TIMEOUT_SECONDS = 0.5
 TOKEN_TIME = 0.02
-LEASE = 10.0
-SILENCE = 8.0
-KEY = "a key for virtual time"
-PLATFORM = PlatformSettings(key_value="127.0.0.1:1", instance_list="127.0.0.1:2")
+LEASE_SECONDS = 10.0
+SILENCE_TIMEOUT_SECONDS = 8.0
+SHARED_KEY = "a key for virtual time"
+PLATFORM_SETTINGS = PlatformSettings(
+    key_value="127.0.0.1:1", instance_list="127.0.0.1:2"
+)
 
 
 class VirtualProcess:
-    """One process: may be killed, or paused, when all that reaches it waits."""
+    """A process that can be killed, or paused, which postpones all its callbacks."""
 
-    def __init__(self, world: "VirtualNetwork", name: str) -> None:
-        self.world = world
+    def __init__(self, network: "VirtualNetwork", name: str) -> None:
+        self.network = network
         self.name = name
         self.is_killed = False
         self.is_paused = False
-        self._held: list[Callable[[], object]] = []
+        self._pending_calls: list[Callable[[], object]] = []
 
     def run(self, callback: Callable[[], object]) -> None:
         if self.is_killed:
             return
         if self.is_paused:
-            self._held.append(callback)
+            self._pending_calls.append(callback)
         else:
             callback()
 
     def later(self, delay: float, callback: Callable[[], object]) -> Any:
-        return self.world.clock.call_later(delay, lambda: self.run(callback))
+        return self.network.clock.call_later(delay, lambda: self.run(callback))
 
     def now(self) -> float:
-        return self.world.clock.now()
+        return self.network.clock.now()
 
     def wall_time(self) -> float:
-        return self.world.clock.wall_time()
+        return self.network.clock.wall_time()
 
     call_later = later
 
@@ -69,65 +71,71 @@
 
     def resume(self) -> None:
         self.is_paused = False
-        held, self._held = self._held, []
-        for callback in held:
+        pending_calls, self._pending_calls = self._pending_calls, []
+        for callback in pending_calls:
             self.run(callback)
 
 
 class VirtualConnection:
-    """An established link; the two ends see it break at their own times."""
+    """A connection whose two ends are notified separately when it is lost."""
 
     def __init__(self, network: "VirtualNetwork", client: "VirtualClient") -> None:
         self.network = network
         self.client = client
-        self.server = network.listening_by_address[client.address]
+        self.server = network.servers_by_address[client.address]
         self.is_broken = False
-        self._held: list[Callable[[], object]] = []
+        self._pending_calls: list[Callable[[], object]] = []
 
     @property
     def is_cut(self) -> bool:
         pair = frozenset((self.client.process.name, self.server.process.name))
         return pair in self.network.cuts
 
-    def carry(self, process: VirtualProcess, deliver: Callable[[], object]) -> None:
+    def schedule_delivery(
+        self, process: VirtualProcess, deliver: Callable[[], object]
+    ) -> None:
         if self.is_broken:
             return
         if self.is_cut:
-            self._held.append(lambda: process.later(LATENCY, deliver))
+            self._pending_calls.append(lambda: process.later(LATENCY_SECONDS, deliver))
         else:
-            process.later(LATENCY, lambda: self.is_broken or deliver())
+            process.later(LATENCY_SECONDS, lambda: self.is_broken or deliver())
 
     def heal(self) -> None:
-        held, self._held = self._held, []
-        for carry in held:
-            carry()
+        pending_calls, self._pending_calls = self._pending_calls, []
+        for schedule_delivery in pending_calls:
+            schedule_delivery()
 
-    def to_server(self, message: link_pb2.EntryMessage) -> None:
+    def send_to_server(self, message: link_pb2.EntryMessage) -> None:
         listener = self.server.listener
         data = message.SerializeToString()
         parsed = link_pb2.EntryMessage.FromString(data)
-        self.carry(self.server.process, lambda: listener.link_message(self, parsed))
+        self.schedule_delivery(
+            self.server.process, lambda: listener.link_message(self, parsed)
+        )
 
     def send(self, message: link_pb2.SidecarMessage) -> None:
         data = message.SerializeToString()
         parsed = link_pb2.SidecarMessage.FromString(data)
-        self.carry(self.client.process, lambda: self.client.received(parsed))
+        self.schedule_delivery(
+            self.client.process, lambda: self.client.message_received(parsed)
+        )
 
     def send_event(self, event: link_pb2.Event) -> None:
         self.send(link_pb2.SidecarMessage(step=link_pb2.Step(events=[event])))
 
-    def break_off(self) -> None:
+    def disconnect(self) -> None:
         if self.is_broken:
             return
         self.is_broken = True
         self.network.connections.remove(self)
         server, client = self.server, self.client
-        server.process.later(LATENCY, lambda: server.listener.link_down(self))
-        client.process.later(LATENCY, lambda: client.broken(self))
+        server.process.later(LATENCY_SECONDS, lambda: server.listener.link_down(self))
+        client.process.later(LATENCY_SECONDS, lambda: client.connection_lost(self))
 
 
 class VirtualClient:
-    """An entry's link that attaches again whenever it is lost."""
+    """An entry's link to a sidecar, which reconnects after each disconnection."""
 
     def __init__(
         self, network: "VirtualNetwork", process: VirtualProcess, address: str, to: Any
@@ -138,15 +146,15 @@
         self._listener = to
         self._connection: VirtualConnection | None = None
         self._is_closed = False
-        process.later(LATENCY, self._attach)
+        process.later(LATENCY_SECONDS, self._connect)
 
-    def _attach(self) -> None:
-        server = self.network.listening_by_address.get(self.address)
+    def _connect(self) -> None:
+        server = self.network.servers_by_address.get(self.address)
         if self._is_closed or self._connection is not None:
             return
         pair = frozenset((self.process.name, server.process.name)) if server else None
         if server is None or server.process.is_paused or pair in self.network.cuts:
-            self.process.later(0.1, self._attach)
+            self.process.later(0.1, self._connect)
             return
         connection = VirtualConnection(self.network, self)
         self.network.connections.append(connection)
@@ -158,26 +166,26 @@
 
     def send(self, message: link_pb2.EntryMessage) -> None:
         if self._connection is not None:
-            self._connection.to_server(message)
+            self._connection.send_to_server(message)
 
-    def received(self, message: link_pb2.SidecarMessage) -> None:
+    def message_received(self, message: link_pb2.SidecarMessage) -> None:
         if self._connection is not None:
             self._listener.link_message(self, message)
 
-    def broken(self, connection: VirtualConnection) -> None:
+    def connection_lost(self, connection: VirtualConnection) -> None:
         if self._connection is connection:
             self._connection = None
             self._listener.link_down(self)
-            self.process.later(0.1, self._attach)
+            self.process.later(0.1, self._connect)
 
     def close(self) -> None:
         self._is_closed = True
         if self._connection is not None:
-            self._connection.break_off()
+            self._connection.disconnect()
 
 
-class VirtualListening:
-    """A sidecar's port: its target's one slot."""
+class VirtualServer:
+    """A sidecar's listening port; an address takes one listener at a time."""
 
     def __init__(self, network: "VirtualNetwork", process: VirtualProcess) -> None:
         self.network = network
@@ -186,27 +194,27 @@
         self.address = ""
         self.open_links = 0
 
-    def __call__(self, listener: Any) -> "VirtualListening":
+    def __call__(self, listener: Any) -> "VirtualServer":
         self.listener = listener
         return self
 
     def start(self, address: str) -> bool:
-        if address in self.network.listening_by_address:
+        if address in self.network.servers_by_address:
             return False
         self.address = address
-        self.network.listening_by_address[address] = self
+        self.network.servers_by_address[address] = self
         return True
 
     def stop(self) -> None:
-        if self.network.listening_by_address.get(self.address) is self:
-            del self.network.listening_by_address[self.address]
+        if self.network.servers_by_address.get(self.address) is self:
+            del self.network.servers_by_address[self.address]
         for connection in list(self.network.connections):
             if connection.server is self:
-                connection.break_off()
+                connection.disconnect()
 
 
 class VirtualStore:
-    """The key-value service as one process reaches it."""
+    """A process's client of the key-value store, with latency and timeouts."""
 
     def __init__(self, process: VirtualProcess, memory: MemoryStore) -> None:
         self._process = process
@@ -230,20 +238,25 @@
         def arrive() -> None:
             call().addCallbacks(
                 lambda value: self._process.later(
-                    LATENCY, lambda: answer.callback(value)
+                    LATENCY_SECONDS, lambda: answer.callback(value)
                 ),
                 lambda _: self._process.later(
-                    STORE_TIMEOUT, lambda: answer.errback(KeyValueUnavailable("down"))
+                    STORE_TIMEOUT_SECONDS,
+                    lambda: answer.errback(KeyValueUnavailable("down")),
                 ),
             )
 
-        # What has been sent arrives, also if its sender is killed meanwhile.
-        self._process.world.clock.call_later(LATENCY, arrive)
+        # A request reaches the store even if its sender is killed after sending it.
+        self._process.network.clock.call_later(LATENCY_SECONDS, arrive)
         return answer
 
 
 class VirtualEngine:
-    """An engine that checks no fencing numbers, as a target and under orders."""
+    """
+    An engine as a target of calls and as the recipient of orders.
+
+    It does not check fencing numbers.
+    """
 
     def __init__(self, network: "VirtualNetwork", name: str) -> None:
         self.process = VirtualProcess(network, name)
@@ -251,7 +264,7 @@
         self.role = "mixed"
         self.models: dict[str, str] = {"claims": "1"}
         self.order_time = 1.0
-        self.order_transit = LATENCY
+        self.order_transit = LATENCY_SECONDS
         self.begun: list[int] = []
         self.under_order = 0
         self.overlaps = 0
@@ -275,12 +288,12 @@
 
     def order(self, wanted: Any, fencing_number: int) -> Deferred:
         answer: Deferred = Deferred()
-        asker = self.sidecar
-        assert asker is not None
+        requester = self.sidecar
+        assert requester is not None
 
         def begin() -> None:
-            for stream in self.process.world.streams:
-                self.cut_off += stream.engine_lost(self)
+            for stream in self.process.network.streams:
+                self.cut_off += stream.interrupt_if_served_by(self)
             self.overlaps += self.under_order > 0
             self.under_order += 1
             self.begun.append(fencing_number)
@@ -289,37 +302,41 @@
         def finish() -> None:
             self.under_order -= 1
             self.role, self.models = wanted.role, wanted.models
-            asker.later(LATENCY, lambda: answer.called or answer.callback(None))
+            requester.later(
+                LATENCY_SECONDS, lambda: answer.called or answer.callback(None)
+            )
 
-        def lost() -> None:
+        def time_out() -> None:
             if not answer.called:
                 answer.errback(OrderLost("no answer"))
 
-        # An order on its way arrives, also if its sidecar is killed meanwhile.
+        # An order reaches the engine even if its sidecar is killed after sending it.
         self.process.later(self.order_transit, begin)
-        asker.later(self.order_time + self.order_transit + 1.0, lost)
+        requester.later(self.order_time + self.order_transit + 1.0, time_out)
         return answer
 
     def _answer(self, read: Callable[[], Any], patience: float) -> Deferred:
         answer: Deferred = Deferred()
-        asker = self.sidecar
-        assert asker is not None
+        requester = self.sidecar
+        assert requester is not None
 
         def arrive() -> None:
             value = read()
-            asker.later(LATENCY, lambda: answer.called or answer.callback(value))
+            requester.later(
+                LATENCY_SECONDS, lambda: answer.called or answer.callback(value)
+            )
 
-        def silent() -> None:
+        def time_out() -> None:
             if not answer.called:
                 answer.errback(TargetFailed("no answer"))
 
-        self.process.later(LATENCY, arrive)
-        asker.later(patience, silent)
+        self.process.later(LATENCY_SECONDS, arrive)
+        requester.later(patience, time_out)
         return answer
 
 
 class VirtualStream:
-    """One call to a virtual engine."""
+    """The streamed answer to one call to a virtual engine."""
 
     def __init__(self, engine: VirtualEngine, call: TargetCall, listener: Any) -> None:
         self._engine = engine
@@ -327,39 +344,43 @@
         self._listener = listener
         body = json.loads(call.body)
         self._prompt = body["prompt"]
-        self._wanted = body["max_tokens"]
+        self._token_limit = body["max_tokens"]
         self._emitted = len(call.resume_tokens)
         self._cache = b"cache" if call.prefill_only else b""
         if call.prefill_only:
-            self._wanted = self._emitted + 1
-        self._is_over = False
+            self._token_limit = self._emitted + 1
+        self._is_finished = False
         engine.started.append(engine.process.now())
-        engine.process.world.streams.append(self)
+        engine.process.network.streams.append(self)
         engine.process.later(TOKEN_TIME, self._step)
 
     def cancel(self) -> None:
-        self._is_over = True
+        self._is_finished = True
 
     def pause(self, paused: bool) -> None:
         raise NotImplementedError
 
-    def engine_lost(self, engine: VirtualEngine) -> bool:
-        """Break the answer off; tell whether there was one under way."""
-        if engine is not self._engine or self._is_over or self._sidecar.is_killed:
+    def interrupt_if_served_by(self, engine: VirtualEngine) -> bool:
+        """
+        Fail the stream if the engine serves it and it is still running.
+
+        :returns: whether the stream was interrupted.
+        """
+        if engine is not self._engine or self._is_finished or self._sidecar.is_killed:
             return False
-        self._is_over = True
+        self._is_finished = True
         failure = TargetFailed("the answer broke off")
-        self._sidecar.later(LATENCY, lambda: self._listener.failed(failure))
+        self._sidecar.later(LATENCY_SECONDS, lambda: self._listener.failed(failure))
         return True
 
     def _step(self) -> None:
-        if self._is_over or self._sidecar.is_killed:
+        if self._is_finished or self._sidecar.is_killed:
             return
         token = token_at(self._prompt, self._emitted)
         self._emitted += 1
-        is_last = self._emitted >= self._wanted
-        self._is_over = is_last
-        self._sidecar.later(LATENCY, lambda: self._arrived([token], is_last))
+        is_last = self._emitted >= self._token_limit
+        self._is_finished = is_last
+        self._sidecar.later(LATENCY_SECONDS, lambda: self._arrived([token], is_last))
         if not is_last:
             self._engine.process.later(TOKEN_TIME, self._step)
 
@@ -370,7 +391,7 @@
 
 
 class VirtualPlain(VirtualEngine):
-    """A plain service: runs a call whether or not its asker still waits."""
+    """A plain service, which finishes a call even if the sidecar has been killed."""
 
     def __init__(self, network: "VirtualNetwork", name: str) -> None:
         super().__init__(network, name)
@@ -378,27 +399,29 @@
         self.duration = 0.05
 
     def start_plain(self, call: TargetCall, listener: Any) -> "VirtualPlain":
-        asker = self.sidecar
+        requester = self.sidecar
 
         def run() -> None:
             self.runs[call.body.decode()] += 1
             self.process.later(self.duration, done)
 
         def done() -> None:
-            asker.later(LATENCY, lambda: listener.finished(Answer(200, {}, b"ok"), ""))
+            requester.later(
+                LATENCY_SECONDS, lambda: listener.finished(Answer(200, {}, b"ok"), "")
+            )
 
-        def silent() -> None:
+        def fail() -> None:
             listener.failed(TargetFailed("no answer"))
 
         if self.process.is_killed:
-            asker.later(LATENCY, silent)
+            requester.later(LATENCY_SECONDS, fail)
         else:
-            self.process.later(LATENCY, run)
+            self.process.later(LATENCY_SECONDS, run)
         return self
 
 
 class VirtualReply:
-    """What a caller gets."""
+    """Records the tokens and the outcome that a caller receives."""
 
     def __init__(self) -> None:
         self.received: list[str] = []
@@ -419,7 +442,7 @@
 
 
 class VirtualList:
-    """The list of instances as one process reaches it, with its lag."""
+    """A process's client of the instance list; its changes take effect after a lag."""
 
     def __init__(self, process: VirtualProcess, memory: MemoryInstanceList) -> None:
         self._process = process
@@ -429,26 +452,26 @@
         return self._memory.read(role)
 
     def register(self, instance: Any) -> Deferred:
-        clock = self._process.world.clock
-        clock.call_later(LIST_LAG, lambda: self._memory.register(instance))
+        clock = self._process.network.clock
+        clock.call_later(LIST_LAG_SECONDS, lambda: self._memory.register(instance))
         return Deferred()
 
     def deregister(self, name: str) -> Deferred:
-        clock = self._process.world.clock
-        clock.call_later(LIST_LAG, lambda: self._memory.deregister(name))
+        clock = self._process.network.clock
+        clock.call_later(LIST_LAG_SECONDS, lambda: self._memory.deregister(name))
         done: Deferred = Deferred()
         done.callback(None)
         return done
 
 
 class VirtualNetwork:
-    """All processes, what connects them, and the faults between them."""
+    """All processes and their connections, with fault injection."""
 
     def __init__(self) -> None:
         self.clock = ManualTimers()
         self.memory = MemoryStore()
         self.list = MemoryInstanceList()
-        self.listening_by_address: dict[str, VirtualListening] = {}
+        self.servers_by_address: dict[str, VirtualServer] = {}
         self.connections: list[VirtualConnection] = []
         self.cuts: set[frozenset[str]] = set()
         self.processes: dict[str, VirtualProcess] = {}
@@ -456,28 +479,28 @@
         self.sidecars: dict[str, Sidecar] = {}
         self.targets: dict[str, VirtualEngine] = {}
         self.streams: list[VirtualStream] = []
-        self._lives = Counter()
+        self._incarnations = Counter()
 
-    def _process(self, name: str) -> VirtualProcess:
-        self._lives[name] += 1
+    def _start_process(self, name: str) -> VirtualProcess:
+        self._incarnations[name] += 1
         self.processes[name] = VirtualProcess(self, name)
         return self.processes[name]
 
     def start_entry(self, name: str, data_centre: str) -> Entry:
-        process = self._process(name)
+        process = self._start_process(name)
         ports = EntryPorts(
             timers=process,
             store=VirtualStore(process, self.memory),
             instances=VirtualList(process, self.list),
             open_link=lambda address, to: VirtualClient(self, process, address, to),
-            incarnation=f"{name}/{self._lives[name]}",
+            incarnation=f"{name}/{self._incarnations[name]}",
         )
         settings = EntrySettings(
             instance=name,
             data_centre=data_centre,
             listen="127.0.0.1:3",
-            shared_key=KEY,
-            platform=PLATFORM,
+            shared_key=SHARED_KEY,
+            platform=PLATFORM_SETTINGS,
         )
         self.entries[name] = Entry(settings, ports)
         self.entries[name].start()
@@ -489,7 +512,7 @@
 
     def start_sidecar(self, target: str, data_centre: str, port: int) -> bool:
         name = f"sidecar-{target}"
-        process = self._process(name)
+        process = self._start_process(name)
         self.targets[target].sidecar = process
         ports = SidecarPorts(
             timers=process,
@@ -498,8 +521,8 @@
             target=self.targets[target],
             engine=self.targets[target],
             open_older_system=lambda _: self.targets[target],
-            listening=VirtualListening(self, process),
-            incarnation=f"{name}/{self._lives[name]}",
+            listening=VirtualServer(self, process),
+            incarnation=f"{name}/{self._incarnations[name]}",
         )
         settings = SidecarSettings(
             instance=name,
@@ -507,8 +530,8 @@
             listen=f"127.0.0.1:{port}",
             target=target,
             target_address="127.0.0.1:4",
-            shared_key=KEY,
-            platform=PLATFORM,
+            shared_key=SHARED_KEY,
+            platform=PLATFORM_SETTINGS,
             orders=OrderSettings(spread=0.1),
         )
         self.sidecars[name] = Sidecar(settings, ports)
@@ -517,42 +540,46 @@
     def kill(self, name: str) -> None:
         process = self.processes[name]
         process.is_killed = True
-        self._lapse_leases(name)
-        for listening in list(self.listening_by_address.values()):
-            if listening.process is process:
-                listening.stop()
+        self._expire_leases(name)
+        for server in list(self.servers_by_address.values()):
+            if server.process is process:
+                server.stop()
         for connection in list(self.connections):
             if connection.client.process is process:
-                connection.break_off()
+                connection.disconnect()
         if name in self.targets:
             for stream in self.streams:
-                stream.engine_lost(self.targets[name])
+                stream.interrupt_if_served_by(self.targets[name])
 
-    def _lapse_leases(self, name: str) -> None:
-        holder = f"{name}/{self._lives[name]}"
-        self.clock.call_later(LEASE, lambda: self.memory.lapse(holder))
+    def _expire_leases(self, name: str) -> None:
+        holder = f"{name}/{self._incarnations[name]}"
+        self.clock.call_later(LEASE_SECONDS, lambda: self.memory.lapse(holder))
 
     def pause(self, name: str) -> None:
         process = self.processes[name]
         process.pause()
-        self._lapse_leases(name)
-        self.clock.call_later(SILENCE, lambda: self._break_silent(process))
+        self._expire_leases(name)
+        self.clock.call_later(
+            SILENCE_TIMEOUT_SECONDS, lambda: self._disconnect_paused(process)
+        )
 
-    def _break_silent(self, process: VirtualProcess) -> None:
+    def _disconnect_paused(self, process: VirtualProcess) -> None:
         for connection in list(self.connections):
             ends = (connection.client.process, connection.server.process)
             if process in ends and process.is_paused:
-                connection.break_off()
+                connection.disconnect()
 
     def cut(self, one: str, other: str) -> None:
         pair = frozenset((one, other))
         self.cuts.add(pair)
-        self.clock.call_later(SILENCE, lambda: self._break_cut(pair))
+        self.clock.call_later(
+            SILENCE_TIMEOUT_SECONDS, lambda: self._disconnect_cut(pair)
+        )
 
-    def _break_cut(self, pair: frozenset[str]) -> None:
+    def _disconnect_cut(self, pair: frozenset[str]) -> None:
         for connection in list(self.connections):
             if connection.is_cut and pair in self.cuts:
-                connection.break_off()
+                connection.disconnect()
 
     def heal(self, one: str, other: str) -> None:
         self.cuts.discard(frozenset((one, other)))
