--- a/pimentolink/configurationage.py
+++ b/pimentolink/configurationage.py
@@ -41,7 +41,7 @@
         self._was_current = False
 
     def clock(self) -> float:
-        """Return the time in seconds on the clock that :meth:`proven` expects."""
+        """Return seconds of the clock that :meth:`record_verification` expects."""
         return self._timers.boot_time()
 
     def record_verification(self, requested_at: float, epoch: int) -> None:
